--- a/include/rackroute/balancer.hpp
+++ b/include/rackroute/balancer.hpp
@@ -1,3 +1,5 @@
+// Public interface of the balancer: it picks the server that executes a query, and retries or rejects
+// queries.
 #pragma once
 
 #include <array>
@@ -8,133 +10,146 @@
 #include <span>
 #include <vector>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute {
 
-enum class Lifecycle { serving, draining, gone };
+enum class Lifecycle { serving, draining, removed };
 
+/// A server as service discovery lists it.
 struct ListedServer {
   ServerId id;
   Lifecycle lifecycle = Lifecycle::serving;
   ZoneId zone;
   CellId cell;
-  double size = 1;
-  std::optional<Span> startedAt;  // absent: long ago
+  double size = 1;                // relative capacity
+  std::optional<Span> startedAt;  // unset if it started long ago
 };
 
-enum class Listing { persisted, complete, changes };
+/// The last known list from storage, a complete list, or changes to the list before.
+enum class ServerListKind { persisted, complete, changes };
 
 struct Query {
   QueryId id;
   UseCaseId useCase;
-  Span timeLeft{};  // until its client gives up
+  Span timeLeft{};  // until the client's deadline
   std::optional<KeyId> key;
   std::optional<AccountId> account;
-  std::uint32_t mostExecutions = std::numeric_limits<std::uint32_t>::max();  // one if its body is not kept
-  bool coming = false;  // its body is still on its way and is passed on as it comes
+  std::uint32_t maxExecutions = std::numeric_limits<std::uint32_t>::max();  // 1 if the body is not buffered
+  bool bodyStreaming = false;  // the body is still being received and is forwarded as it arrives
 };
 
-enum class Outcome { completed, error, full, timeout, connectFailed, reset, cancelled, moot };
+/// How an execution ended. `full`: the server is at capacity and did not execute the query. `invalidQuery`:
+/// the server found the query itself invalid, which says nothing about the server.
+enum class Outcome { completed, error, full, timeout, connectFailed, reset, cancelled, invalidQuery };
 
-/// What the balancer asks of its surroundings.
-class Host {
+/// Callbacks through which the balancer acts.
+class BalancerHost {
  public:
-  Host() = default;
-  Host(const Host&) = delete;
-  Host& operator=(const Host&) = delete;
-  virtual ~Host() = default;
+  BalancerHost() = default;
+  BalancerHost(const BalancerHost&) = delete;
+  BalancerHost& operator=(const BalancerHost&) = delete;
+  virtual ~BalancerHost() = default;
 
   virtual void execute(QueryId query, ServerId server, Span timeout) = 0;
   virtual void cancel(QueryId query, ExecutionNo execution) = 0;
-  virtual void reject(QueryId query, Span comeBackAfter) = 0;  // 0: no advice
+  /// Answers a query that may be sent again safely. A retryAfter of 0 means no advice.
+  virtual void reject(QueryId query, Span retryAfter) = 0;
+  /// Answers a query that may have taken effect, or whose deadline has passed.
   virtual void abort(QueryId query) = 0;
+  /// Requests a call of Balancer::wake at this time. Earlier requests remain in force.
   virtual void wakeAt(Span time) = 0;
+  /// Subscribes to service discovery: a complete list, then changes.
   virtual void watchServers() = 0;
+  /// Requests a complete list once.
   virtual void listServers() = 0;
 };
 
-/// What an observer may see of a balancer: servers in its pool, and how many of them are ejected.
-struct Standing {
+/// Servers in a balancer's pool, and how many of them are ejected.
+struct PoolStatus {
   std::uint32_t pool = 0;
   std::uint32_t ejected = 0;
 };
 
-/// What a balancer learned of one listed server.
-struct LearnedServer {
+/// Statistics of one listed server.
+struct ServerSnapshot {
   ServerId id;
-  bool used = false;
+  bool inSubset = false;
   bool ejected = false;
-  std::uint32_t run = 0;
-  Span trialIn{};  // from now
+  std::uint32_t consecutiveFailures = 0;
+  Span trialIn{};  // time left until the next trial execution
   double weight = 1;
-  double limit = 1;
+  double limit = 1;  // concurrent executions
   double coldCredit = 0;
-  double pace = 0;  // seconds; 0: not known
-  double service = 0;
+  double unitLatency = 0;  // seconds; 0 if unknown
+  double serviceTime = 0;  // seconds, as reported by the server; 0 if unknown
 };
 
-/// What it learned, for one that takes its place: measures, nothing of any query.
-struct Learned {
-  double answerTime = 0;  // seconds
-  double answersPerSecond = 0;
-  std::array<double, 2> warmAnswers{};
-  std::array<double, 2> warmTime{};
-  std::array<double, 2> unloaded{1, 1};
-  double setSize = 0;
-  std::vector<LearnedServer> servers{};
+/// Statistics that a balancer hands to its successor. They hold no state of queries.
+struct BalancerSnapshot {
+  double meanLatency = 0;  // seconds
+  double responsesPerSecond = 0;
+  std::array<double, 2> warmResponses{};        // of servers outside the subset, and of its members
+  std::array<double, 2> warmServerSeconds{};    // likewise, weighted by server size
+  std::array<double, 2> unloadedLatency{1, 1};  // seconds; of other zones, and of the own zone
+  double subsetSize = 0;
+  std::vector<ServerSnapshot> servers{};
 };
 
-class Decider;
+class BalancerImpl;
 
-/// A query that a balancer has taken. It must not outlive the balancer; calls on one that is over do nothing.
+/// A query that was submitted to a balancer. It must not outlive the balancer; calls on a finished query do
+/// nothing.
 class QueryHandle {
  public:
-  /// The service time is what the server reported with the answer for one query's work; 0 if it reports none.
+  /// serviceTime is the processing time that the server reported; 0 if it reported none. A terminal outcome
+  /// is the query's final answer.
   void executionEnded(Span now, ExecutionNo execution, Outcome outcome, bool terminal, Span serviceTime = {});
-  void answerStarted(Span now, ExecutionNo execution);
-  /// The last byte of a query that was still coming: its time counts from now.
-  void bodyWhole(Span now);
+  void responseStarted(Span now, ExecutionNo execution);
+  /// The last byte of a streamed body was forwarded. Elapsed times of the query are counted from here.
+  void bodyComplete(Span now);
   void clientLeft(Span now);
-  [[nodiscard]] bool over() const;
+  [[nodiscard]] bool finished() const;
 
  private:
   friend class Balancer;
-  QueryHandle(Decider& decider, std::uint32_t slot, std::uint32_t turn)
-      : decider_(&decider), slot_(slot), turn_(turn) {}
+  QueryHandle(BalancerImpl& impl, std::uint32_t slot, std::uint32_t generation)
+      : impl_(&impl), slot_(slot), generation_(generation) {}
 
-  Decider* decider_;
+  BalancerImpl* impl_;
   std::uint32_t slot_;
-  std::uint32_t turn_;
+  std::uint32_t generation_;
 };
 
-/// One instance, sharing nothing with others. The host must outlive it and must not call back into it.
+/// A balancer instance; instances share no state. The host must outlive it and must not call it from within a
+/// callback.
 class Balancer {
  public:
-  Balancer(Terms terms, Host& host);
+  Balancer(BalancerConfig config, BalancerHost& host);
   Balancer(const Balancer&) = delete;
   Balancer& operator=(const Balancer&) = delete;
   ~Balancer();
 
-  QueryHandle take(Span now, const Query& query);
-  void serversListed(Span now, Listing listing, std::span<const ListedServer> servers);
-  /// How many balancers there may be, in place of Terms::balancers; never fewer than may be running.
-  void fleetOf(std::uint32_t balancers);
+  QueryHandle submit(Span now, const Query& query);
+  void serversListed(Span now, ServerListKind listing, std::span<const ListedServer> servers);
+  /// Replaces BalancerConfig::balancerCount. The count must not be lower than the number of running
+  /// balancers.
+  void setBalancerCount(std::uint32_t balancers);
   void discoveryFailed(Span now);
   void wake(Span now);
-  /// Maintenance by hand: it gets nothing new until it is put back, whatever the lists say; then it counts as
-  /// just started. Either call may be repeated.
-  void takeOut(Span now, ServerId server);
-  void putBack(Span now, ServerId server);
-  /// Whether a listed server gets nothing now, by hand or as it is ejected.
-  [[nodiscard]] bool avoids(Span now, ServerId server) const;
-  /// To be learned right after the list that it belongs to.
-  [[nodiscard]] Learned learned(Span now) const;
-  void learn(Span now, const Learned& learned);
-  [[nodiscard]] Standing standing(Span now) const;
+  /// Takes a server out of rotation for maintenance until enableServer is called, whatever the server lists
+  /// say. An enabled server counts as just started. Both calls are idempotent.
+  void disableServer(Span now, ServerId server);
+  void enableServer(Span now, ServerId server);
+  /// Whether a listed server gets no queries because it is disabled or ejected.
+  [[nodiscard]] bool isExcluded(Span now, ServerId server) const;
+  [[nodiscard]] BalancerSnapshot snapshot(Span now) const;
+  /// Restores a predecessor's statistics. Call it right after the server list they belong to.
+  void restore(Span now, const BalancerSnapshot& snapshot);
+  [[nodiscard]] PoolStatus poolStatus(Span now) const;
 
  private:
-  std::unique_ptr<Decider> decider_;
+  std::unique_ptr<BalancerImpl> impl_;
 };
 
 }  // namespace rackroute
--- a/src/decide/balancer.cpp
+++ b/src/decide/balancer.cpp
@@ -1,11 +1,7 @@
-// The decision module: which server gets a query, when it goes out again, and when it is given up.
+// The balancing decisions: which server executes a query, whether it is retried, and when it is given up.
 //
-// A client process owns one Balancer (include/rackroute/balancer.hpp), hands it queries, server lists and the
-// time, and tells each QueryHandle what becomes of its query. The module answers by calls on Host. It never
-// blocks, reads no clock and draws all chance from the seed in Terms: the same calls give the same answers.
-//
-// Read on from top to bottom: constants, then the Decider in the order of a query's life: the list, the pool,
-// the pick, the execution, its outcome, the final answer. What is kept of each stands in held.hpp.
+// The code never blocks, reads no clock and draws random numbers from the configured seed only, so the same
+// calls give the same decisions. State is declared in state.hpp.
 
 #include "rackroute/balancer.hpp"
 
@@ -18,381 +14,376 @@
 #include <random>
 #include <utility>
 
-#include "decide/buckets.hpp"
-#include "decide/held.hpp"
+#include "decide/rolling_window.hpp"
+#include "decide/state.hpp"
 
 namespace rackroute {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr std::uint32_t kFailuresToEject = 5;  // in a row; the design page's figure
-constexpr std::uint32_t kErrorsToShut = 2;     // in a row in one use case, too rare there for five
-constexpr Span kEjectTime = 10s;               // the design page's start value; troubles last 5 s to 35 s
-constexpr double kEjectSpread = 0.3;           // share of the eject time; trials must not all fall together
-constexpr double kMostOut = 0.5;               // share of the pool; the design page's self-preservation
-constexpr double kWeightStep = 0.1;            // of full weight 1, a success; the design page's figure
-constexpr double kWeightFloor = 0.05;          // of full weight 1; keeps a failing server in sight
-constexpr double kCrowded = 1.25;     // of the pool's mean expected answer time; "well above" begins here
-constexpr double kNearer = 6.0;       // draw weight of the own zone; crossing costs time and money
-constexpr std::size_t kHomes = 2;     // servers a key may be met at; the second takes what the first can't
-constexpr double kHomeCrowded = 1.2;  // of the common bound; the met key takes under half as long
-constexpr double kHeld = 6;       // queries for each core; a server that holds more in the mean slows down
-constexpr double kYield = 0.5;    // power of listed load in the draw; a late list needs a gentle answer
-constexpr double kMostSpeed = 2;  // of the mean speed, and its inverse; reports are noisy
-constexpr double kDropDoubted = 0.5;  // share of the held servers; losing more at once is doubted
-constexpr double kColdMargin = 0.65;  // share of the tipping budget; queries' work varies about twofold
-constexpr double kFirstLimit = 4.0;   // executions of all balancers; a queue answered within an SLO time
-constexpr double kLeastLimit = 0.2;   // executions of all balancers; one at a time on every fifth server
-constexpr double kLimitStep = 0.07;   // of the limit, per quick answer; a late one undoes seven
-constexpr double kLimitCut = 0.7;     // of the limit, per late answer; two in a row halve it
-constexpr double kTimely = 0.5;       // of the SLO time; slower answers mean a queue at the server
-constexpr double kOverdue = 3.0;      // of the usual answer time; no healthy server strays that far
-constexpr double kLate = 0.6;         // of the SLO time; leaves the rest for waiting here
-constexpr double kFlow = 2.4;         // of the executions that the finishing rate needs; room to grow again
-constexpr double kListedFlow = 1.2;   // the same where the list tells that there is room to grow
-constexpr double kEnough = 5;         // answers; fewer make no mean
-constexpr double kLeastSet = 3;       // servers; a set survives two failures and can still compare
-constexpr double kCover = 8;          // balancers in each server's sets, at least; fewer would be uneven
-constexpr double kSetAnswers = 32;    // answers for each member in a ring's time; fewer tell nothing
-constexpr double kSaved = 3;          // usual executions saved up below a limit; a short run of queries
-constexpr Span kOneCall = 100ms;      // of discovery's time; a call for a whole list of some dozen servers
-constexpr Span kAllCalls = 4s;        // at most for all calls; leaves time to be served while the list holds
-constexpr Span kFirstAsk = 250ms;     // first repeat of a failed discovery call; a tick or two is too soon
-constexpr Span kLastAsk = 4s;         // longest backoff; well inside the time a held list may go unasked
-constexpr double kLeastServed = 0.5;  // share of a use case's queries; bounds what starving adds
-constexpr double kAnswerRoom = 1.5;   // of the usual answer time; sent later, half would come too late
-constexpr double kShareSlack = 1.15;  // of an account's part; a balancer sees no exact mix
-constexpr Span kRareRun = 1s;         // a run of two errors lasts that long, or five are needed and come soon
-constexpr Span kRest = 400ms;         // after one full; a few queries' work, within an SLO time
-constexpr Span kLeastWait = 20ms;     // between looks for room while queries wait; well under any SLO time
-constexpr Span kAdvice = 150ms;  // when to come back; leaves a client's retry a chance within the SLO time
-constexpr double kUnmeasured = 0.15;  // seconds; answer time assumed before the first answer
+constexpr std::uint32_t kFailuresToEject = 5;  // consecutive failures of a server
+constexpr std::uint32_t kErrorsToExclude = 2;  // consecutive errors of one use case at a server
+constexpr Span kEjectTime = 10s;
+constexpr double kEjectJitter = 0.3;       // of the eject time, so that trials are spread
+constexpr double kMaxExcludedShare = 0.5;  // of the pool
+constexpr double kWeightStep = 0.1;        // regained per success; full weight is 1
+constexpr double kMinWeight = 0.05;
+constexpr double kSlowFactor = 1.25;        // of the pool's mean expected latency; slower servers are skipped
+constexpr double kOwnZonePreference = 6.0;  // weight factor of servers in the own zone
+constexpr std::size_t kHomesPerKey = 2;     // servers that a key is sent to
+constexpr double kHomeFactor = 1.2;         // relative to kSlowFactor, for a key's home
+constexpr double kMaxListedLoad = 6;        // mean queries per core; limits shrink above it
+constexpr double kListedLoadExponent = 0.5;
+constexpr double kMaxSpeed = 2;             // of the mean speed; its inverse is the minimum
+constexpr double kSuspectDropShare = 0.5;   // a complete list that drops more servers is confirmed first
+constexpr double kColdSafetyFactor = 0.65;  // of the load that overloads a cold server
+constexpr double kInitialLimit = 4.0;       // concurrent executions per server, of all balancers
+constexpr double kMinLimit = 0.2;           // likewise
+constexpr double kLimitStep = 0.07;         // per fast response
+constexpr double kLimitCut = 0.7;           // factor per slow response
+constexpr double kFastResponse = 0.5;       // of the SLO time
+constexpr double kOverdueFactor = 3.0;      // of the mean latency
+constexpr double kSlowResponse = 0.6;       // of the SLO time
+constexpr double kMinConcurrency = 2.4;     // limits stay above this multiple of what recent throughput needs
+constexpr double kMinListedConcurrency = 1.2;  // likewise, if the list reports load
+constexpr double kMinSamples = 5;              // for a mean
+constexpr double kMinSubset = 3;               // servers
+constexpr double kMinUsers = 8;                // balancers that have a server in their subset
+constexpr double kResponsesPerMember = 32;     // in a statistics window; the subset grows with them
+constexpr double kMaxSaved = 3;                // mean executions that may be saved up below the limits
+constexpr Span kCallTime = 100ms;
+constexpr Span kMaxCallSpread = 4s;  // for the first discovery calls of all balancers
+constexpr Span kMinBackoff = 250ms;
+constexpr Span kMaxBackoff = 4s;
+constexpr double kMinCompletedShare = 0.5;  // bounds the priority boost of a use case that is rarely served
+constexpr double kLatencyMargin = 1.5;      // factor on the mean latency when checking a deadline
+constexpr double kAccountTolerance = 1.15;  // factor on an account's share
+constexpr Span kMinErrorSpan = 1s;          // duration of a short run of errors that excludes a use case
+constexpr Span kFullBackoff = 400ms;
+constexpr Span kMinQueueRecheck = 20ms;
+constexpr Span kRetryAfter = 150ms;
+constexpr double kInitialLatency = 0.15;  // seconds, until the first response
 
 double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
 Span scaled(Span span, double by) {
   return Span{static_cast<Span::rep>(static_cast<double>(span.count()) * by)};
 }
 
-double fraction(std::uint64_t key, std::uint64_t server) {  // of 1, never 0; by splitmix64's finish
+double hashToUnit(std::uint64_t key, std::uint64_t server) {  // in (0, 1), by the splitmix64 finalizer
   std::uint64_t value = key ^ (server * 0x9e3779b97f4a7c15U);
   value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
   value = (value ^ (value >> 27U)) * 0x94d049bb133111ebU;
   return (static_cast<double>((value ^ (value >> 31U)) >> 12U) + 0.5) / 4503599627370496.0;
 }
 
-Fate fateAfter(Outcome outcome) {
+ExecState stateAfter(Outcome outcome) {
   using enum Outcome;
-  return outcome == full || outcome == connectFailed || outcome == moot ? Fate::neverRan : Fate::mayHaveRun;
+  return outcome == full || outcome == connectFailed || outcome == invalidQuery ? ExecState::notExecuted
+                                                                                : ExecState::mayHaveExecuted;
 }
 
-bool isFailure(Outcome outcome) {  // full is back pressure; cancelled and moot say nothing
+bool isFailure(Outcome outcome) {
   return outcome == Outcome::error || outcome == Outcome::timeout || outcome == Outcome::connectFailed ||
          outcome == Outcome::reset;
 }
 
 }  // namespace
 
-class Decider {
+class BalancerImpl {
  public:
-  Decider(Terms terms, Host& host)
-      : terms_(std::move(terms)),
+  BalancerImpl(BalancerConfig config, BalancerHost& host)
+      : config_(std::move(config)),
         host_(host),
-        chance_(static_cast<std::uint_fast32_t>(terms_.seed)),
-        accountAnswers_(terms_.accounts.size()),
-        served_(terms_.useCases.size()) {
-    // Guards against a fleet that starts together and asks at once: discovery, which works through calls in
-    // turn, would serve hardly any in time. Each asks at its own moment of what all of them take.
-    askAt_ = scaled(allCalls(), draw());
-    if (!terms_.discoveryOnRequest) askAt_ = Span::max();
-    if (askAt_ <= Span{0}) wake(Span{0});
-    arm(Span{0});
-  }
-
-  void fleetOf(std::uint32_t balancers) { terms_.balancers = std::max(balancers, 1U); }
-
-  // ---- The list: the last good set is held through errors and doubtful lists.
-
-  void serversListed(Span now, Listing listing, std::span<const ListedServer> servers) {
-    if (listing != Listing::persisted) askBackoff_ = std::max(kFirstAsk, allCalls());
-    if (listing != Listing::changes) dropAbsent(now, listing, servers);
-    for (const ListedServer& listed : servers) update(now, listed);
-    fillSet(now);
-    cutCrowded(now);
-    placeWaiting(now);
-    arm(now);
-  }
-
-  // Maintenance: out by hand is a drain that no list ends. It is in no pool meanwhile, so that the cap on
-  // ejection is reckoned without it.
-  void takeOut(Span now, ServerId id) {
-    if (!std::exchange(named(id).takenOut, true)) placeWaiting(now);
-    arm(now);
-  }
-
-  // Guards against a restarted server that the list still calls old: it counts as started when it is put
-  // back, by all balancers at once. Its place in the set was kept, as a full set would not take it again.
-  void putBack(Span now, ServerId id) {
-    Server& server = named(id);
-    if (!std::exchange(server.takenOut, false)) return;
-    refresh(now, server);
+        random_(static_cast<std::uint_fast32_t>(config_.seed)),
+        accountResponses_(config_.accountShares.size()),
+        completed_(config_.useCases.size()) {
+    // Spreads the calls, as all balancers may start at once and discovery handles one call at a time.
+    watchAt_ = scaled(callSpread(), draw());
+    if (!config_.discoveryOnRequest) watchAt_ = Span::max();
+    if (watchAt_ <= Span{0}) wake(Span{0});
+    scheduleWake(Span{0});
+  }
+
+  void setBalancerCount(std::uint32_t balancers) { config_.balancerCount = std::max(balancers, 1U); }
+
+  // ---- Server lists: the last good list stays in use after discovery errors and implausible lists.
+
+  void serversListed(Span now, ServerListKind listing, std::span<const ListedServer> servers) {
+    if (listing != ServerListKind::persisted) watchBackoff_ = std::max(kMinBackoff, callSpread());
+    if (listing != ServerListKind::changes) removeAbsent(now, listing, servers);
+    for (const ListedServer& listed : servers) updateServer(now, listed);
+    fillSubset(now);
+    reduceLimits(now);
+    dispatchQueued(now);
+    scheduleWake(now);
+  }
+
+  // A disabled server is outside the pool, so it does not count towards the cap on ejections.
+  void disableServer(Span now, ServerId id) {
+    if (!std::exchange(findOrAdd(id).disabled, true)) dispatchQueued(now);
+    scheduleWake(now);
+  }
+
+  // The server counts as just started, as the list may not show its restart. It stays in the subset.
+  void enableServer(Span now, ServerId id) {
+    Server& server = findOrAdd(id);
+    if (!std::exchange(server.disabled, false)) return;
+    resetStatistics(now, server);
     server.startedAt = now;
-    placeWaiting(now);
-    arm(now);
+    dispatchQueued(now);
+    scheduleWake(now);
   }
 
-  [[nodiscard]] bool avoids(Span now, ServerId id) const {
-    return std::any_of(servers_.begin(), servers_.end(),
-                       [&](const Server& s) { return s.id == id && s.held && (!open(now, s) || s.ejected); });
+  [[nodiscard]] bool isExcluded(Span now, ServerId id) const {
+    return std::any_of(servers_.begin(), servers_.end(), [&](const Server& s) {
+      return s.id == id && s.listed && (!available(now, s) || s.ejected);
+    });
   }
 
-  // Guards against a registry that is out of reach: the held set stays, and the call is repeated later.
+  // The current list stays in use; the call is repeated with exponential backoff and jitter.
   void discoveryFailed(Span now) {
-    askAt_ = now + scaled(askBackoff_, 0.25 + draw());
-    askBackoff_ = std::min(2 * askBackoff_, std::max(kLastAsk, allCalls()));
-    arm(now);
+    watchAt_ = now + scaled(watchBackoff_, 0.25 + draw());
+    watchBackoff_ = std::min(2 * watchBackoff_, std::max(kMaxBackoff, callSpread()));
+    scheduleWake(now);
   }
 
-  // ---- Time and queries
+  // ---- Queries
 
-  std::pair<QuerySlot, std::uint32_t> take(Span now, const Query& query) {
-    const QuerySlot slot = freeSlot();
-    Held& held = queries_[slot];
-    const std::uint32_t turn = held.turn;
-    held.query = query;
-    held.arrived = now;
-    held.deadline = now + query.timeLeft;
-    held.inUse = true;
-    fillSet(now);
-    if (!place(now, slot)) waitOrGiveUp(now, slot);
-    arm(now);
-    return {slot, turn};
+  std::pair<QuerySlot, std::uint32_t> submit(Span now, const Query& request) {
+    const QuerySlot slot = allocateSlot();
+    QueryState& query = queries_[slot];
+    const std::uint32_t generation = query.generation;
+    query.request = request;
+    query.arrivedAt = now;
+    query.deadline = now + request.timeLeft;
+    query.inUse = true;
+    fillSubset(now);
+    if (!dispatch(now, slot)) enqueueOrFinish(now, slot);
+    scheduleWake(now);
+    return {slot, generation};
   }
 
   void wake(Span now) {
     if (wakeAt_ <= now) wakeAt_ = Span::max();
-    if (askAt_ <= now) {
-      askAt_ = Span::max();
+    if (watchAt_ <= now) {
+      watchAt_ = Span::max();
       host_.watchServers();
     }
-    if (std::exchange(listAgain_, false)) host_.listServers();
-    countOverdue(now);
-    placeWaiting(now);
-    arm(now);
+    if (std::exchange(relistDue_, false)) host_.listServers();
+    checkOverdue(now);
+    dispatchQueued(now);
+    scheduleWake(now);
   }
 
-  // ---- What a handle is told
-
   void executionEnded(Span now, QuerySlot slot, ExecutionNo no, Outcome outcome, bool terminal,
                       Span service) {
-    Held& held = queries_[slot];
-    if (no.value >= held.executions.size() || held.executions[no.value].fate != Fate::out) return;
-    Execution& execution = held.executions[no.value];
-    execution.fate = fateAfter(outcome);
-    --held.out;
-    if (service > Span{0}) services_.add(now, servers_[execution.server].service = seconds(service));
-    judge(now, slot, no, execution, outcome);
-    if (terminal) held.answered = true;
-    if (!held.answered && held.out == 0) {
-      if (hopeless(now, held)) {
-        answer(now, slot);
-      } else if (!place(now, slot)) {
-        waitOrGiveUp(now, slot);
+    QueryState& query = queries_[slot];
+    if (no.value >= query.executions.size() || query.executions[no.value].state != ExecState::inFlight)
+      return;
+    Execution& execution = query.executions[no.value];
+    execution.state = stateAfter(outcome);
+    --query.inFlight;
+    if (service > Span{0}) reported_.add(now, servers_[execution.server].serviceTime = seconds(service));
+    recordOutcome(now, slot, no, execution, outcome);
+    if (terminal) query.answered = true;
+    if (!query.answered && query.inFlight == 0) {
+      if (isExpired(now, query)) {
+        finish(now, slot);
+      } else if (!dispatch(now, slot)) {
+        enqueueOrFinish(now, slot);
       }
     }
     release(slot);
-    placeWaiting(now);
-    arm(now);
+    dispatchQueued(now);
+    scheduleWake(now);
   }
 
-  void answerStarted(Span now, QuerySlot slot, ExecutionNo no) {
-    const Held& held = queries_[slot];
-    if (no.value >= held.executions.size()) return;
-    for (Pending& pending : servers_[held.executions[no.value].server].out) {
-      if (pending.query == slot && pending.no == no) pending.started = now;
+  void responseStarted(Span now, QuerySlot slot, ExecutionNo no) {
+    const QueryState& query = queries_[slot];
+    if (no.value >= query.executions.size()) return;
+    for (InFlight& pending : servers_[query.executions[no.value].server].inFlight) {
+      if (pending.query == slot && pending.no == no) pending.responseStartedAt = now;
     }
-    placeWaiting(now);
+    dispatchQueued(now);
   }
 
-  // Guards against a slow client that makes its server look slow: all times count from the body's last byte.
-  void bodyWhole(Span now, QuerySlot slot) {
-    Held& held = queries_[slot];
-    held.arrived = now;
-    held.deadline = now + held.query.timeLeft;
-    held.query.coming = false;
-    for (Execution& execution : held.executions) {
+  // All times are counted from the end of the body, so that a slow client does not make its server look slow.
+  void bodyComplete(Span now, QuerySlot slot) {
+    QueryState& query = queries_[slot];
+    query.arrivedAt = now;
+    query.deadline = now + query.request.timeLeft;
+    query.request.bodyStreaming = false;
+    for (Execution& execution : query.executions) {
       execution.sentAt = now;
-      for (Pending& pending : servers_[execution.server].out)
+      for (InFlight& pending : servers_[execution.server].inFlight)
         if (pending.query == slot)
           pending = {.query = slot, .no = pending.no, .sentAt = now, .others = pending.others};
     }
-    arm(now);
+    scheduleWake(now);
   }
 
   void clientLeft(Span now, QuerySlot slot) {
-    stopWaiting(slot);
+    dequeue(slot);
     queries_[slot].answered = true;
     release(slot);
-    arm(now);
+    scheduleWake(now);
   }
 
-  [[nodiscard]] Standing standing(Span now) const {
-    Standing all;
+  [[nodiscard]] PoolStatus poolStatus(Span now) const {
+    PoolStatus all;
     for (const Server& server : servers_) {
-      if (!server.held || !inPool(now, server)) continue;
+      if (!server.listed || !inPool(now, server)) continue;
       ++all.pool;
       if (server.ejected) ++all.ejected;
     }
     return all;
   }
 
-  // ---- What a successor in the same place goes on with
+  // ---- Handover to a successor
 
-  // Guards against a change of process that forgets: without it cold servers get nothing and no query may
-  // wait, as nothing tells yet what warm servers do.
-  [[nodiscard]] Learned learned(Span now) const {
-    Learned all{.answerTime = answers_.mean(now, 0),
-                .answersPerSecond = answers_.count(now) / measuredSpan(now)};
-    all.warmAnswers = warmAnswers_;
-    all.warmTime = warmTime_;
-    all.unloaded = unloaded_;
-    all.setSize = setSize_;
+  // Without these statistics a successor could not queue queries or send any to cold servers at first.
+  [[nodiscard]] BalancerSnapshot snapshot(Span now) const {
+    BalancerSnapshot all{.meanLatency = latency_.mean(now, 0),
+                         .responsesPerSecond = latency_.count(now) / statsTime(now)};
+    all.warmResponses = warmResponses_;
+    all.warmServerSeconds = warmServerSeconds_;
+    all.unloadedLatency = unloaded_;
+    all.subsetSize = subsetSize_;
     for (const Server& s : servers_) {
-      if (!s.held) continue;
-      all.servers.push_back({s.id, s.used, s.ejected, s.run, s.trialAt - now, s.weight, s.limit, s.coldCredit,
-                             s.pace.mean(now, 0), s.service});
+      if (!s.listed) continue;
+      all.servers.push_back({s.id, s.inSubset, s.ejected, s.consecutiveFailures, s.trialAt - now, s.weight,
+                             s.limit, s.coldCredit, s.unitLatency.mean(now, 0), s.serviceTime});
     }
     return all;
   }
 
-  void learn(Span now, const Learned& all) {
-    for (double left = all.answersPerSecond; left >= 1; --left) answers_.add(now, all.answerTime);
-    warmAnswers_ = all.warmAnswers;
-    warmTime_ = all.warmTime;
-    unloaded_ = all.unloaded;
-    setSize_ = all.setSize;
-    if (askAt_ != Span::max()) askAt_ = now;  // its list is current: a watch costs discovery little
-    arm(now);
+  void restore(Span now, const BalancerSnapshot& all) {
+    for (double left = all.responsesPerSecond; left >= 1; --left) latency_.add(now, all.meanLatency);
+    warmResponses_ = all.warmResponses;
+    warmServerSeconds_ = all.warmServerSeconds;
+    unloaded_ = all.unloadedLatency;
+    subsetSize_ = all.subsetSize;
+    if (watchAt_ != Span::max()) watchAt_ = now;  // cheap for discovery, as the list is current
+    scheduleWake(now);
     for (Server& server : servers_) {
       const auto at = std::find_if(all.servers.begin(), all.servers.end(),
-                                   [&](const LearnedServer& s) { return s.id == server.id; });
+                                   [&](const ServerSnapshot& s) { return s.id == server.id; });
       if (at == all.servers.end()) continue;
-      server.used = at->used;
+      server.inSubset = at->inSubset;
       server.ejected = at->ejected;
-      server.run = at->run;
+      server.consecutiveFailures = at->consecutiveFailures;
       server.trialAt = now + at->trialIn;
       server.weight = at->weight;
       server.limit = at->limit;
       server.coldCredit = at->coldCredit;
-      server.service = at->service;
-      if (at->pace > 0) server.pace.add(now, at->pace);
-      if (at->pace > 0) paces_.add(now, at->pace);
+      server.serviceTime = at->serviceTime;
+      if (at->unitLatency > 0) server.unitLatency.add(now, at->unitLatency);
+      if (at->unitLatency > 0) unitLatency_.add(now, at->unitLatency);
     }
   }
 
-  [[nodiscard]] bool current(QuerySlot slot, std::uint32_t turn) const {
-    return queries_[slot].inUse && queries_[slot].turn == turn;
+  [[nodiscard]] bool isCurrent(QuerySlot slot, std::uint32_t generation) const {
+    return queries_[slot].inUse && queries_[slot].generation == generation;
   }
 
  private:
-  static double measuredSpan(Span now) { return std::clamp(seconds(now), 1.0, seconds(kBucket) * kBuckets); }
-  double draw() { return std::generate_canonical<double, 24>(chance_); }
-  [[nodiscard]] const UseCase& useCase(const Held& h) const { return terms_.useCases[h.query.useCase.value]; }
-
-  // ---- The list
+  static double statsTime(Span now) { return std::clamp(seconds(now), 1.0, seconds(kBucket) * kBuckets); }
+  double draw() { return std::generate_canonical<double, 24>(random_); }
+  [[nodiscard]] const UseCase& useCase(const QueryState& query) const {
+    return config_.useCases[query.request.useCase.value];
+  }
 
-  void dropAbsent(Span now, Listing listing, std::span<const ListedServer> servers) {
-    const auto absent = [&](const Server& server) {
-      return server.held && std::none_of(servers.begin(), servers.end(),
-                                         [&](const ListedServer& listed) { return listed.id == server.id; });
+  void removeAbsent(Span now, ServerListKind listing, std::span<const ListedServer> servers) {
+    const auto absent = [&](const Server& s) {
+      return s.listed && std::none_of(servers.begin(), servers.end(),
+                                      [&](const ListedServer& l) { return l.id == s.id; });
     };
     const auto lost = static_cast<double>(std::count_if(servers_.begin(), servers_.end(), absent));
-    // Guards against a registry that lost sight of the fleet: an empty list, or one that drops over half at
-    // once, is asked for again, and what it left out serves on until the drain grace would run out.
-    const bool doubted = listing == Listing::complete && !doubting_ && listedCount_ > 0 &&
-                         (servers.empty() || lost > kDropDoubted * listedCount_);
+    // An implausible list is requested again; the servers it omits stay in use for most of the drain grace.
+    const bool suspect = listing == ServerListKind::complete && !removalDeferred_ && listedCount_ > 0 &&
+                         (servers.empty() || lost > kSuspectDropShare * listedCount_);
     for (Server& server : servers_) {
       if (absent(server))
-        close(server, doubted ? now + std::max(terms_.drainGrace - 2 * terms_.tick, Span{0}) : now);
+        retire(server, suspect ? now + std::max(config_.drainGrace - 2 * config_.tick, Span{0}) : now);
     }
-    doubting_ = doubted;
-    if (doubted) listAgain_ = true;
+    removalDeferred_ = suspect;
+    if (suspect) relistDue_ = true;
   }
 
-  void close(Server& server, Span from) {
-    server.closedFrom = std::min(server.closedFrom, from);
-    server.held = false;
+  void retire(Server& server, Span from) {
+    server.unavailableFrom = std::min(server.unavailableFrom, from);
+    server.listed = false;
   }
 
-  void update(Span now, const ListedServer& listed) {
+  void updateServer(Span now, const ListedServer& listed) {
     auto at =
         std::find_if(servers_.begin(), servers_.end(), [&](const Server& s) { return s.id == listed.id; });
     if (listed.lifecycle != Lifecycle::serving) {
-      if (at != servers_.end()) close(*at, now);
+      if (at != servers_.end()) retire(*at, now);
       return;
     }
     const bool known = at != servers_.end();
     if (!known) {
       at = std::find_if(servers_.begin(), servers_.end(), [&](const Server& s) {
-        return !s.held && s.closedFrom <= now && s.out.empty() && !s.takenOut;
+        return !s.listed && s.unavailableFrom <= now && s.inFlight.empty() && !s.disabled;
       });
       if (at == servers_.end()) at = servers_.emplace(servers_.end());
     }
-    const bool joins = !known || !at->joined;
-    const bool restarted = known && at->listedStart != listed.startedAt && listed.startedAt;
+    const bool joins = !known || !at->everListed;
+    const bool restarted = known && at->listedStartedAt != listed.startedAt && listed.startedAt;
     if (joins || restarted) {
-      // Guards against a grown fleet whose new servers are in nobody's set: each joins its part of the sets.
-      if (joins) at->used = setSize_ > 0 && draw() * listedCount_ < setSize_;
-      const bool takenOut = known && at->takenOut;
-      refresh(now, *at);
-      at->takenOut = takenOut;
+      // New servers join existing subsets with the probability that a listed server is a member.
+      if (joins) at->inSubset = subsetSize_ > 0 && draw() * listedCount_ < subsetSize_;
+      const bool disabled = known && at->disabled;
+      resetStatistics(now, *at);
+      at->disabled = disabled;
       at->startedAt = listed.startedAt;
     }
     at->id = listed.id;
     at->zone = listed.zone;
     at->cell = listed.cell;
-    // Guards against load that is counted twice, where the listed weight falls by it: the largest is nominal.
+    // A weight that follows load falls with it; the largest weight seen is taken as the nominal size.
     const double weight = std::max(listed.size, 1e-3);
-    at->size = terms_.weightsFollowLoad && !joins ? std::max(at->size, weight) : weight;
-    at->holds = at->size / weight - 1;
-    at->listedStart = listed.startedAt;
-    at->closedFrom = Span::max();
-    at->held = true;
-    at->joined = true;
+    at->size = config_.weightsFollowLoad && !joins ? std::max(at->size, weight) : weight;
+    at->listedLoad = at->size / weight - 1;
+    at->listedStartedAt = listed.startedAt;
+    at->unavailableFrom = Span::max();
+    at->listed = true;
+    at->everListed = true;
   }
 
-  // Nothing that was learned of the process before holds for the new one.
-  void refresh(Span now, Server& server) {
+  void resetStatistics(Span now, Server& server) {
     server.ejected = server.onTrial = false;
-    server.run = 0;
-    server.passed = Span::min();
-    server.pace = {};
-    server.service = 0;
+    server.consecutiveFailures = 0;
+    server.lastCompletedSentAt = Span::min();
+    server.unitLatency = {};
+    server.serviceTime = 0;
     server.weight = meanWeight_;
-    server.useRuns.assign(terms_.useCases.size(), {});
-    server.coldCredit = draw();  // Guards against a thousand balancers that spend their parts at one moment.
+    server.useCases.assign(config_.useCases.size(), {});
+    server.coldCredit = draw();  // spreads the balancers' first executions
     server.coldCreditAt = now;
-    server.limit = firstLimit();
+    server.limit = initialLimit();
   }
 
-  // One that no list has named yet, or that was forgotten, is kept for what was said of it by hand.
-  Server& named(ServerId id) {
+  // Also adds a server that no list has named yet, to remember that it is disabled.
+  Server& findOrAdd(ServerId id) {
     const auto at =
         std::find_if(servers_.begin(), servers_.end(), [&](const Server& s) { return s.id == id; });
     if (at != servers_.end()) return *at;
-    Server& made = servers_.emplace_back();
-    made.id = id;
-    made.closedFrom = Span::min();
-    made.useRuns.assign(terms_.useCases.size(), {});
-    return made;
+    Server& added = servers_.emplace_back();
+    added.id = id;
+    added.unavailableFrom = Span::min();
+    added.useCases.assign(config_.useCases.size(), {});
+    return added;
   }
 
-  // ---- The set: a balancer that can't use all servers has a few of them as its pool, location by location.
+  // ---- The subset of servers that this balancer uses
 
-  // Guards against a thousand balancers that each hold connections to every server and know nothing of any.
-  // The set is as large as this balancer's own answers can tell apart; each member is the next of a part of
-  // the list, which goes by location; the places within the parts are spread evenly over the balancers.
-  void fillSet(Span now) {
+  // Subsetting limits connections and gives each balancer enough responses to judge its servers. The servers
+  // are sorted by zone and cut into parts; each member is from another part. The offset varies by
+  // balancer.
+  void fillSubset(Span now) {
     order_.clear();
     double usable = 0;
     double unused = 0;
@@ -400,108 +391,113 @@
     double weight = 0;
     for (ServerSlot slot = 0; slot < servers_.size(); ++slot) {
       const Server& server = servers_[slot];
-      if (!server.held || !open(now, server)) continue;
+      if (!server.listed || !available(now, server)) continue;
       order_.push_back(slot);
       size += server.size;
       weight += server.weight;
-      unused += server.used || server.ejected ? 0 : 1;
-      usable += server.used && !server.ejected ? 1 : 0;
+      unused += server.inSubset || server.ejected ? 0 : 1;
+      usable += server.inSubset && !server.ejected ? 1 : 0;
     }
     listedCount_ = static_cast<double>(order_.size());
     meanWeight_ = listedCount_ > 0 ? weight / listedCount_ : 1;
-    const double told = answers_.count(now) / measuredSpan(now) * seconds(kBucket) * kBuckets / kSetAnswers;
-    setSize_ = std::max({setSize_, kLeastSet, kCover * listedCount_ / terms_.balancers, told});
-    const double wanted = std::min(setSize_, usable + unused);
+    const double byRate =
+        latency_.count(now) / statsTime(now) * seconds(kBucket) * kBuckets / kResponsesPerMember;
+    subsetSize_ =
+        std::max({subsetSize_, kMinSubset, kMinUsers * listedCount_ / config_.balancerCount, byRate});
+    const double wanted = std::min(subsetSize_, usable + unused);
     if (usable >= wanted) return;
     std::sort(order_.begin(), order_.end(), [&](ServerSlot a, ServerSlot b) {
       return std::pair(servers_[a].zone, servers_[a].id) < std::pair(servers_[b].zone, servers_[b].id);
     });
-    const double parts = std::ceil(std::min(setSize_, listedCount_));
-    for (; usable < wanted && unused > 0; ++usable, --unused, ++setPicks_) {
-      const double part = std::fmod(setPicks_, parts);
-      const double place = std::fmod(terms_.number * (std::numbers::phi + part * std::numbers::sqrt2), 1.0);
-      double before = (part + place) / parts * size;
+    const double parts = std::ceil(std::min(subsetSize_, listedCount_));
+    for (; usable < wanted && unused > 0; ++usable, --unused, ++subsetPicks_) {
+      const double part = std::fmod(subsetPicks_, parts);
+      const double offset =
+          std::fmod(config_.balancerIndex * (std::numbers::phi + part * std::numbers::sqrt2), 1.0);
+      double remaining = (part + offset) / parts * size;
       std::size_t at = 0;
-      for (; at + 1 < order_.size() && before >= servers_[order_[at]].size; ++at)
-        before -= servers_[order_[at]].size;
-      // Guards against a home that was ejected outside the set: it would join as one more that is out.
-      while (servers_[order_[at]].used || servers_[order_[at]].ejected) at = (at + 1) % order_.size();
-      servers_[order_[at]].used = true;
-      servers_[order_[at]].limit = firstLimit();
+      for (; at + 1 < order_.size() && remaining >= servers_[order_[at]].size; ++at)
+        remaining -= servers_[order_[at]].size;
+      // Servers outside the subset may be ejected, as keys and retries are sent to them too.
+      while (servers_[order_[at]].inSubset || servers_[order_[at]].ejected) at = (at + 1) % order_.size();
+      servers_[order_[at]].inSubset = true;
+      servers_[order_[at]].limit = initialLimit();
     }
   }
 
-  // This balancer's part of what all may do at one server, one execution in all for the whole set at least.
-  // Where it has a set it is in fewer balancers' way, and its members get the part of those left out.
-  [[nodiscard]] double firstLimit() const {
-    const double members = std::max(setSize_, 1.0);
-    return std::max(kFirstLimit * std::max(listedCount_ / members, 1.0) / terms_.balancers, 1 / members);
+  // This balancer's part of kInitialLimit, but at least one execution in total. Members also get the parts of
+  // servers outside the subset.
+  [[nodiscard]] double initialLimit() const {
+    const double size = std::max(subsetSize_, 1.0);
+    return std::max(kInitialLimit * std::max(listedCount_ / size, 1.0) / config_.balancerCount, 1 / size);
   }
 
-  [[nodiscard]] Span allCalls() const { return std::min(kAllCalls, kOneCall * (terms_.balancers - 1)); }
+  [[nodiscard]] Span callSpread() const {
+    return std::min(kMaxCallSpread, kCallTime * (config_.balancerCount - 1));
+  }
 
-  [[nodiscard]] static bool inPool(Span now, const Server& s) { return s.used && open(now, s); }
+  [[nodiscard]] static bool inPool(Span now, const Server& s) { return s.inSubset && available(now, s); }
 
-  // ---- The pool: failure runs eject until a trial, and ejection halts at a capped share.
+  // ---- Outcomes, limits and ejection
 
-  [[nodiscard]] static bool open(Span now, const Server& server) {
-    return now < server.closedFrom && !server.takenOut;
+  [[nodiscard]] static bool available(Span now, const Server& server) {
+    return now < server.unavailableFrom && !server.disabled;
   }
 
-  void judge(Span now, QuerySlot slot, ExecutionNo no, const Execution& execution, Outcome outcome) {
+  void recordOutcome(Span now, QuerySlot slot, ExecutionNo no, const Execution& execution, Outcome outcome) {
     Server& server = servers_[execution.server];
-    const auto at = std::find_if(server.out.begin(), server.out.end(),
-                                 [&](const Pending& p) { return p.query == slot && p.no == no; });
-    if (at == server.out.end()) return;
-    const Pending pending = *at;
-    const bool tight = poolWait(now) > Span{0} || load(now, server) + 1 > server.limit;
-    server.out.erase(at);
-    if (server.startedAt && execution.sentAt < *server.startedAt) return;  // says nothing of the new process
-    const Span took = pending.started.value_or(now) - execution.sentAt;
-    const Held& held = queries_[slot];
-    const std::size_t use = held.query.useCase.value;
-    const Span slo = useCase(held).sloTime;
+    const auto at = std::find_if(server.inFlight.begin(), server.inFlight.end(),
+                                 [&](const InFlight& p) { return p.query == slot && p.no == no; });
+    if (at == server.inFlight.end()) return;
+    const InFlight pending = *at;
+    const bool atLimit = timeToCapacity(now) > Span{0} || load(now, server) + 1 > server.limit;
+    server.inFlight.erase(at);
+    if (server.startedAt && execution.sentAt < *server.startedAt) return;  // the server restarted since
+    const Span took = pending.responseStartedAt.value_or(now) - execution.sentAt;
+    const QueryState& query = queries_[slot];
+    const std::size_t use = query.request.useCase.value;
+    const Span slo = useCase(query).sloTime;
     if (outcome == Outcome::completed) {
-      server.passed = std::max(server.passed, execution.sentAt);
-      server.pace.add(now, seconds(took) / (pending.others + 1));
-      paces_.add(now, seconds(took) / (pending.others + 1));
-      answers_.add(now, seconds(took));
-      if (held.query.account) accountAnswers_[held.query.account->value].add(now, 1);
-      const bool near = server.zone == terms_.zone;
-      Ring& alike = answersFrom_[near];
-      alike.add(now, seconds(took));
-      if (alike.count(now) >= kEnough) unloaded_[near] = std::min(unloaded_[near], alike.mean(now, 0));
-      if (!held.answered) served_[use].add(now, 1);
-      if (ramp(now, server) >= 1) ++warmAnswers_[server.used];
-      if (tight && took <= scaled(slo, kTimely)) moveLimit(now, server, 1 + kLimitStep);
-      if (took > scaled(slo, kLate)) moveLimit(now, server, kLimitCut);
-      // Guards against servers that are slow but answer: an answer past its SLO time earns no weight.
+      server.lastCompletedSentAt = std::max(server.lastCompletedSentAt, execution.sentAt);
+      server.unitLatency.add(now, seconds(took) / (pending.others + 1));
+      unitLatency_.add(now, seconds(took) / (pending.others + 1));
+      latency_.add(now, seconds(took));
+      if (query.request.account) accountResponses_[query.request.account->value].add(now, 1);
+      const bool own = server.zone == config_.zone;
+      RecentStats& latency = zoneLatency_[own];
+      latency.add(now, seconds(took));
+      if (latency.count(now) >= kMinSamples) unloaded_[own] = std::min(unloaded_[own], latency.mean(now, 0));
+      if (!query.answered) completed_[use].add(now, 1);
+      if (slowStartFactor(now, server) >= 1) ++warmResponses_[server.inSubset];
+      if (atLimit && took <= scaled(slo, kFastResponse)) adjustLimits(now, server, 1 + kLimitStep);
+      if (took > scaled(slo, kSlowResponse)) adjustLimits(now, server, kLimitCut);
+      // Responses after the SLO time do not restore weight, so that slow servers get fewer queries.
       if (took <= slo) server.weight = std::min(1.0, server.weight + kWeightStep);
-      server.run = server.useRuns[use].failures = 0;
-      location(server.zone).run = 0;
+      server.consecutiveFailures = server.useCases[use].consecutive = 0;
+      zoneFailures(server.zone).consecutive = 0;
       server.ejected = server.onTrial = false;
     } else if (isFailure(outcome)) {
       if (!pending.overdue) countFailure(now, server, use);
-      // Guards against a server that fails or hangs on one use case only: that one keeps away for the eject
-      // time, then one more failure renews it. Where it is frequent, two in a row may come by chance.
-      UseRun& run = server.useRuns[use];
-      if (run.failures == 0) run.since = now;
-      const bool hung = outcome == Outcome::timeout && stuck(now, server, pending);
+      // A use case that fails or hangs at a server is excluded there. A frequent one needs a longer run of
+      // errors, as short runs occur by chance.
+      UseCaseFailures& run = server.useCases[use];
+      if (run.consecutive == 0) run.firstAt = now;
+      const bool hung = outcome == Outcome::timeout && isStalled(now, server, pending);
       if ((outcome == Outcome::error || outcome == Outcome::reset || hung) &&
-          ++run.failures >= kErrorsToShut &&
-          (run.failures >= kFailuresToEject || now - run.since >= kRareRun) && mayPutOut(now, use))
-        run.shutUntil = now + scaled(kEjectTime, 1.0 + kEjectSpread * draw());
+          ++run.consecutive >= kErrorsToExclude &&
+          (run.consecutive >= kFailuresToEject || now - run.firstAt >= kMinErrorSpan) && mayExclude(now, use))
+        run.excludedUntil = now + scaled(kEjectTime, 1.0 + kEjectJitter * draw());
     } else if (outcome == Outcome::full) {
-      // Guards against a server that turns a use case away at once and so looks the emptiest: that one rests.
-      server.useRuns[use].shutUntil = std::max(server.useRuns[use].shutUntil, now + kRest);
+      // A server that refuses a use case at once would otherwise look idle and attract more of it.
+      server.useCases[use].excludedUntil = std::max(server.useCases[use].excludedUntil, now + kFullBackoff);
     }
-    server.onTrial = server.onTrial && !server.out.empty();
+    server.onTrial = server.onTrial && !server.inFlight.empty();
   }
 
-  // An answer moves its server's limit; one from outside the set moves the whole set's by a member's part, as
-  // their sum binds all. Guards against cutting below what was lately finished, near or far, without a queue.
-  void moveLimit(Span now, Server& answered, double by) {
-    if (by > 1 && held_ > kHeld) return;
+  // A response adjusts its server's limit; one from outside the subset adjusts all members' limits a little.
+  // Limits stay above the concurrency that recent throughput needs (Little's law).
+  void adjustLimits(Span now, Server& responder, double by) {
+    if (by > 1 && meanListedLoad_ > kMaxListedLoad) return;
     double sizes = 0;
     double members = 0;
     for (const Server& server : servers_) {
@@ -509,496 +505,498 @@
       sizes += server.size;
       ++members;
     }
-    const double ran = answersFrom_[0].count(now) * unloaded_[0] + answersFrom_[1].count(now) * unloaded_[1];
-    const double flow = (terms_.weightsFollowLoad ? kListedFlow : kFlow) * ran / measuredSpan(now);
+    const double work = zoneLatency_[0].count(now) * unloaded_[0] + zoneLatency_[1].count(now) * unloaded_[1];
+    const double needed =
+        (config_.weightsFollowLoad ? kMinListedConcurrency : kMinConcurrency) * work / statsTime(now);
     for (Server& server : servers_) {
-      if (&server != &answered && (answered.used || !inPool(now, server))) continue;
-      const double step = &server == &answered ? by : std::pow(by, 1 / members);
+      if (&server != &responder && (responder.inSubset || !inPool(now, server))) continue;
+      const double step = &server == &responder ? by : std::pow(by, 1 / members);
       const double grown = server.limit + (step - 1) * std::min(server.limit, 1 / server.limit);
       const double least =
-          std::max(kLeastLimit / terms_.balancers, flow * server.size / std::max(sizes, server.size));
+          std::max(kMinLimit / config_.balancerCount, needed * server.size / std::max(sizes, server.size));
       server.limit = step > 1 ? grown : std::max(least, server.limit * step);
     }
   }
 
-  // Guards against a crowd that no balancer sees by its own few answers: the list tells what all hold.
-  void cutCrowded(Span now) {
-    double holds = 0;
+  // Reacts to load by all balancers, which the listed load shows and this balancer's responses may not.
+  void reduceLimits(Span now) {
+    double inverseLoad = 0;
     double members = 0;
     for (Server& server : servers_) {
-      if (!inPool(now, server) || server.ejected || lost(now, server.zone)) continue;
-      holds += 1 / (1 + server.holds);
+      if (!inPool(now, server) || server.ejected || zoneDown(now, server.zone)) continue;
+      inverseLoad += 1 / (1 + server.listedLoad);
       ++members;
     }
-    held_ = members > 0 ? members / holds - 1 : 0;  // harmonic: no outlier moves it
-    if (held_ <= kHeld) return;
+    meanListedLoad_ = members > 0 ? members / inverseLoad - 1 : 0;  // harmonic mean
+    if (meanListedLoad_ <= kMaxListedLoad) return;
     for (Server& server : servers_)
-      if (server.used) server.limit = std::max(server.limit * kHeld / held_, 1 / std::max(members, 1.0));
+      if (server.inSubset)
+        server.limit = std::max(server.limit * kMaxListedLoad / meanListedLoad_, 1 / std::max(members, 1.0));
   }
 
   void countFailure(Span now, Server& server, std::size_t use) {
-    server.weight = std::max(kWeightFloor, server.weight / 2);
-    ++server.run;
-    server.failedAt = now;
-    Location& there = location(server.zone);
-    ++there.run;
-    there.failedAt = now;
-    if (server.ejected || (server.run >= kFailuresToEject && mayPutOut(now, use))) eject(now, server);
-  }
-
-  // Guards against servers that take work and answer none: an execution far over the usual counts at once as
-  // one time-out, not only when its client gives up. Where all answers are slow the usual grows with them.
-  [[nodiscard]] Span overdueAt(Span now, const Pending& pending) const {
+    server.weight = std::max(kMinWeight, server.weight / 2);
+    ++server.consecutiveFailures;
+    server.lastFailureAt = now;
+    ZoneFailures& zone = zoneFailures(server.zone);
+    ++zone.consecutive;
+    zone.lastAt = now;
+    if (server.ejected || (server.consecutiveFailures >= kFailuresToEject && mayExclude(now, use)))
+      eject(now, server);
+  }
+
+  // Detects hung servers: an execution that is far slower than usual counts as a timeout before its deadline.
+  [[nodiscard]] Span overdueAt(Span now, const InFlight& pending) const {
     const Span slo = useCase(queries_[pending.query]).sloTime;
-    return pending.sentAt + std::max(slo, scaled(1s, kOverdue * answers_.mean(now, kUnmeasured)));
+    return pending.sentAt + std::max(slo, scaled(1s, kOverdueFactor * latency_.mean(now, kInitialLatency)));
   }
 
-  void countOverdue(Span now) {
+  void checkOverdue(Span now) {
     for (Server& server : servers_) {
-      for (Pending& pending : server.out) {
-        if (pending.overdue || idle(pending) || now < overdueAt(now, pending)) continue;
+      for (InFlight& pending : server.inFlight) {
+        if (pending.overdue || isIdle(pending) || now < overdueAt(now, pending)) continue;
         pending.overdue = true;
-        if (stuck(now, server, pending)) continue;
-        // An answer lost on its way, by the list: no queue at a server that holds little.
-        if (!terms_.weightsFollowLoad || server.holds > kFirstLimit) moveLimit(now, server, kLimitCut);
-        countFailure(now, server, queries_[pending.query].query.useCase.value);
+        if (isStalled(now, server, pending)) continue;
+        // By the listed load there is no queue at the server, so the response was probably lost.
+        if (!config_.weightsFollowLoad || server.listedLoad > kInitialLimit)
+          adjustLimits(now, server, kLimitCut);
+        countFailure(now, server, queries_[pending.query].request.useCase.value);
       }
     }
   }
 
   void eject(Span now, Server& server) {
-    if (server.ejected && now < server.trialAt) return;  // an old execution's end, not the trial's
+    if (server.ejected && now < server.trialAt) return;  // an execution from before the ejection
     server.ejected = true;
     server.onTrial = false;
-    server.trialAt = now + scaled(kEjectTime, 1.0 + kEjectSpread * draw());
+    server.trialAt = now + scaled(kEjectTime, 1.0 + kEjectJitter * draw());
   }
 
-  // Self-preservation. Guards against a failure detector that is itself what broke: one more may go out, for
-  // all use cases or for one, only while that leaves half the pool to that use case.
-  [[nodiscard]] bool mayPutOut(Span now, std::size_t use) const {
+  // Exclusion must leave half of the pool, as the balancer's own failure detection may be at fault.
+  [[nodiscard]] bool mayExclude(Span now, std::size_t use) const {
     double pool = 0;
-    double out = 0;
+    double excluded = 0;
     for (const Server& server : servers_) {
-      if (!server.held || !inPool(now, server)) continue;
+      if (!server.listed || !inPool(now, server)) continue;
       ++pool;
-      if (server.ejected || now < server.useRuns[use].shutUntil) ++out;
+      if (server.ejected || now < server.useCases[use].excludedUntil) ++excluded;
     }
-    return out + 1 <= kMostOut * pool;
+    return excluded + 1 <= kMaxExcludedShare * pool;
   }
 
   // ---- Cold servers
 
-  // The house way: a fresh server counts for less, by its age.
-  [[nodiscard]] double ramp(Span now, const Server& server) const {
-    if (!server.startedAt || terms_.coldTime <= Span{0}) return 1;
-    const double age = std::max(0.0, seconds(now - *server.startedAt)) / seconds(terms_.coldTime);
-    return std::min(1.0, terms_.coldShare + (1 - terms_.coldShare) * age);
+  // The share of its capacity that a server is assumed to have, growing linearly during its cold time.
+  [[nodiscard]] double slowStartFactor(Span now, const Server& server) const {
+    if (!server.startedAt || config_.coldTime <= Span{0}) return 1;
+    const double age = std::max(0.0, seconds(now - *server.startedAt)) / seconds(config_.coldTime);
+    return std::min(1.0, config_.coldShare + (1 - config_.coldShare) * age);
   }
 
-  // Guards against pushing a cold server over, also when most of the fleet is out and all would flow to it.
-  // Measured by what warm servers answered this balancer: each balancer then stays within its own part.
-  // What its part allows over the tipping window is saved up: a part below one is spent more rarely.
-  [[nodiscard]] bool coldRoom(Span now, Server& server) {
-    const double part = ramp(now, server);
+  // A token bucket that keeps a cold server below the load that overloads it, even if it is the only one
+  // left. The rate derives from this balancer's warm responses, so that all balancers together stay below it.
+  [[nodiscard]] bool hasColdCredit(Span now, Server& server) {
+    const double part = slowStartFactor(now, server);
     if (part >= 1) return true;
-    const double rate = part * terms_.tipMultiple * kColdMargin * server.size * warmAnswers_[server.used] /
-                        std::max(warmTime_[server.used], 1.0);
-    const double most = std::max(1.0, rate * seconds(terms_.tipWindow));
+    const double rate = part * config_.overloadMultiple * kColdSafetyFactor * server.size *
+                        warmResponses_[server.inSubset] / std::max(warmServerSeconds_[server.inSubset], 1.0);
+    const double most = std::max(1.0, rate * seconds(config_.overloadWindow));
     server.coldCredit = std::min(most, server.coldCredit + rate * seconds(now - server.coldCreditAt));
     server.coldCreditAt = now;
     return server.coldCredit >= 1;
   }
 
-  // Answers a second that a warm server gave this balancer, for each unit of size, in the set and outside.
-  // Guards against a fleet that is down and so finishes little: the mean since the start still tells.
-  void measureWarmRate(Span now) {
+  // Measured since the start rather than over a window, as recent throughput may be low during an outage.
+  void measureWarmTime(Span now) {
     for (const Server& server : servers_) {
-      if (server.held && !server.ejected && ramp(now, server) >= 1)
-        warmTime_[server.used] += server.size * seconds(now - warmAt_);
+      if (server.listed && !server.ejected && slowStartFactor(now, server) >= 1)
+        warmServerSeconds_[server.inSubset] += server.size * seconds(now - warmMeasuredAt_);
     }
-    warmAt_ = now;
+    warmMeasuredAt_ = now;
   }
 
-  // ---- The pick
+  // ---- Server selection
 
-  // Guards against connections that fall silent while their server answers on others: what was sent later
-  // has been completed, so that such an execution takes no room there and tells nothing of the server.
-  [[nodiscard]] bool stuck(Span now, const Server& server, const Pending& pending) const {
-    return server.passed > pending.sentAt &&
-           now > pending.sentAt + scaled(1s, kOverdue * answers_.mean(now, kUnmeasured));
+  // The server completed an execution that was sent later, so this one's connection has probably failed.
+  [[nodiscard]] bool isStalled(Span now, const Server& server, const InFlight& pending) const {
+    return server.lastCompletedSentAt > pending.sentAt &&
+           now > pending.sentAt + scaled(1s, kOverdueFactor * latency_.mean(now, kInitialLatency));
   }
-  // No work at its server: the body is still coming, or the answer is on its way to a slow reader.
-  [[nodiscard]] static bool idle(const Pending& pending) { return pending.coming || pending.started; }
+  // The server does no work: the body is still being received, or the response is being sent.
+  [[nodiscard]] static bool isIdle(const InFlight& p) { return p.bodyStreaming || p.responseStartedAt; }
   [[nodiscard]] double load(Span now, const Server& server) const {
-    return static_cast<double>(std::count_if(server.out.begin(), server.out.end(), [&](const Pending& p) {
-      return !idle(p) && !stuck(now, server, p) && !(p.overdue && terms_.weightsFollowLoad);
-    }));
-  }
-
-  // How long an answer would take: the server's recent pace times what would then be out there.
-  [[nodiscard]] double expected(Span now, const Server& server, double usual) const {
-    // Guards against a server that nothing is known of, as it was away or left alone: answer times hold the
-    // queues of the others, and by them it would look too slow to be tried ever.
-    double estimate = server.pace.mean(now, paces_.mean(now, usual)) * (load(now, server) + 1);
-    // Guards against silence: nothing is quicker than the execution that is still unanswered.
-    for (const Pending& pending : server.out) {
-      if (!idle(pending) && !stuck(now, server, pending))
+    return static_cast<double>(
+        std::count_if(server.inFlight.begin(), server.inFlight.end(), [&](const InFlight& p) {
+          return !isIdle(p) && !isStalled(now, server, p) && !(p.overdue && config_.weightsFollowLoad);
+        }));
+  }
+
+  [[nodiscard]] double expectedLatency(Span now, const Server& server, double usual) const {
+    // Without own samples the mean over all servers applies, so that an idle server is not starved.
+    double estimate = server.unitLatency.mean(now, unitLatency_.mean(now, usual)) * (load(now, server) + 1);
+    // The latency is at least the age of the oldest unanswered execution.
+    for (const InFlight& pending : server.inFlight) {
+      if (!isIdle(pending) && !isStalled(now, server, pending))
         estimate = std::max(estimate, seconds(now - pending.sentAt));
     }
     return estimate;
   }
 
-  [[nodiscard]] bool triedBefore(const Held& held, ServerSlot slot) const {
-    return std::any_of(held.executions.begin(), held.executions.end(),
+  [[nodiscard]] bool wasTried(const QueryState& query, ServerSlot slot) const {
+    return std::any_of(query.executions.begin(), query.executions.end(),
                        [&](const Execution& e) { return e.server == slot; });
   }
 
-  // Guards against small machines that get as much as others: by the service time they report, where they do.
-  [[nodiscard]] double speed(Span now, const Server& server) const {
-    if (server.service <= 0) return 1;
-    return std::clamp(services_.mean(now, server.service) / server.service, 1 / kMostSpeed, kMostSpeed);
+  // From the service times that servers report; 1 if this one reports none.
+  [[nodiscard]] double relativeSpeed(Span now, const Server& server) const {
+    if (server.serviceTime <= 0) return 1;
+    return std::clamp(reported_.mean(now, server.serviceTime) / server.serviceTime, 1 / kMaxSpeed, kMaxSpeed);
   }
 
-  // Guards against keys that cling to homes that fail: those keep none until they answer, or the eject time.
-  [[nodiscard]] static bool failsNow(Span now, std::uint32_t run, Span failedAt, std::uint32_t most) {
+  [[nodiscard]] static bool isFailing(Span now, std::uint32_t run, Span failedAt, std::uint32_t most) {
     return run >= most && now < failedAt + kEjectTime;
   }
 
-  Location& location(ZoneId zone) {
-    if (zone.value >= locations_.size()) locations_.resize(zone.value + 1);
-    return locations_[zone.value];
+  ZoneFailures& zoneFailures(ZoneId zone) {
+    if (zone.value >= zoneFailures_.size()) zoneFailures_.resize(zone.value + 1);
+    return zoneFailures_[zone.value];
   }
-  // Guards against a lost location whose servers would each have to fail five times, one after the other.
-  bool lost(Span now, ZoneId zone) {
-    return failsNow(now, location(zone).run, location(zone).failedAt, kFailuresToEject);
+  // Detects the failure of a whole zone without waiting for each of its servers to fail.
+  bool zoneDown(Span now, ZoneId zone) {
+    return isFailing(now, zoneFailures(zone).consecutive, zoneFailures(zone).lastAt, kFailuresToEject);
   }
 
-  std::optional<ServerSlot> pick(Span now, const Held& held) {
-    if (poolWait(now) > Span{0}) return std::nullopt;
-    measureWarmRate(now);
-    // Where the list tells load, following it is worth more than a met key.
-    const bool homes = terms_.warmKeys && held.query.key && !terms_.weightsFollowLoad;
-    const bool repeat = mayHaveRun(held) != nullptr;
-    const double usual = answers_.mean(now, kUnmeasured);
+  std::optional<ServerSlot> pickServer(Span now, const QueryState& query) {
+    if (timeToCapacity(now) > Span{0}) return std::nullopt;
+    measureWarmTime(now);
+    // Listed load is a better guide than key affinity.
+    const bool homes = config_.keyAffinity && query.request.key && !config_.weightsFollowLoad;
+    const bool repeat = firstExecuted(query) != nullptr;
+    const double usual = latency_.mean(now, kInitialLatency);
     expected_.assign(servers_.size(), 0.0);
     double inverse = 0;
     double pool = 0;
     for (ServerSlot slot = 0; slot < servers_.size(); ++slot) {
       Server& server = servers_[slot];
-      if (!open(now, server) || !(server.used || homes || repeat) || !groupAllows(now, held, server))
+      if (!available(now, server) || !(server.inSubset || homes || repeat) ||
+          !retryAllowed(now, query, server))
         continue;
       if (server.ejected) {
-        if (trialDue(now, server, held) && coldRoom(now, server) && !triedBefore(held, slot)) return slot;
+        if (trialDue(now, server, query) && hasColdCredit(now, server) && !wasTried(query, slot)) return slot;
         continue;
       }
-      if (now < server.useRuns[held.query.useCase.value].shutUntil) continue;
-      expected_[slot] = std::max(expected(now, server, usual), 1e-6);
-      if (!server.used) continue;
+      if (now < server.useCases[query.request.useCase.value].excludedUntil) continue;
+      expected_[slot] = std::max(expectedLatency(now, server, usual), 1e-6);
+      if (!server.inSubset) continue;
       inverse += 1 / expected_[slot];
       ++pool;
     }
-    const double crowded = kCrowded * (pool > 0 ? pool / inverse : usual);  // harmonic: no outlier moves it
-    // Guards against a location whose keys alone are more than its servers bear, while others idle.
-    const bool bears = answersFrom_[1].mean(now, 0) <= kCrowded * answersFrom_[0].mean(now, unloaded_[0]);
-    const bool atHome = homes && bears && !lost(now, terms_.zone);
-    std::array<std::pair<double, ServerSlot>, kHomes> nearest;  // by distance
+    const double bound = kSlowFactor * (pool > 0 ? pool / inverse : usual);  // harmonic mean
+    // Key affinity is suspended while the own zone is slower than the others.
+    const bool fast = zoneLatency_[1].mean(now, 0) <= kSlowFactor * zoneLatency_[0].mean(now, unloaded_[0]);
+    const bool useHomes = homes && fast && !zoneDown(now, config_.zone);
+    std::array<std::pair<double, ServerSlot>, kHomesPerKey> nearest;  // distance and server
     nearest.fill({std::numeric_limits<double>::infinity(), 0});
-    std::optional<ServerSlot> least;
+    std::optional<ServerSlot> best;
     double sum = 0;
-    odds_.assign(servers_.size(), 0.0);
+    pickWeights_.assign(servers_.size(), 0.0);
     for (ServerSlot slot = 0; slot < servers_.size(); ++slot) {
       Server& server = servers_[slot];
-      if (expected_[slot] <= 0 || triedBefore(held, slot)) continue;
-      const double share = server.weight * server.size * ramp(now, server) * speed(now, server) *
-                           std::pow(1 + server.holds, -kYield);
-      if (atHome && server.zone == terms_.zone && !failsNow(now, server.run, server.failedAt, 1)) {
-        // Guards against a hundred balancers that each see a key's home elsewhere, so that it is met nowhere:
-        // by what all are told alike, and nothing that this one measured.
-        const double part = server.size * ramp(now, server);
-        const double distance = -std::log(fraction(held.query.key->value, server.id.value)) / part;
+      if (expected_[slot] <= 0 || wasTried(query, slot)) continue;
+      const double share = server.weight * server.size * slowStartFactor(now, server) *
+                           relativeSpeed(now, server) * std::pow(1 + server.listedLoad, -kListedLoadExponent);
+      if (useHomes && server.zone == config_.zone &&
+          !isFailing(now, server.consecutiveFailures, server.lastFailureAt, 1)) {
+        // Rendezvous hashing on listed data only, so that all balancers choose the same homes for a key.
+        const double part = server.size * slowStartFactor(now, server);
+        const double distance = -std::log(hashToUnit(query.request.key->value, server.id.value)) / part;
         if (distance < nearest.back().first) {
           nearest.back() = {distance, slot};
           std::sort(nearest.begin(), nearest.end());
         }
       }
-      if (!(server.used || repeat) || !room(now, server)) continue;
-      if (!least || expected_[slot] < expected_[*least]) least = slot;
-      if (expected_[slot] > crowded) continue;
-      odds_[slot] = server.zone == terms_.zone ? kNearer * share : share;
-      sum += odds_[slot];
+      if (!(server.inSubset || repeat) || !hasCapacity(now, server)) continue;
+      if (!best || expected_[slot] < expected_[*best]) best = slot;
+      if (expected_[slot] > bound) continue;
+      pickWeights_[slot] = server.zone == config_.zone ? kOwnZonePreference * share : share;
+      sum += pickWeights_[slot];
     }
-    // A choice, not a weight: among two hundred servers any fixed weight would be lost.
+    // Homes come first: a weight factor would be too weak among many servers.
     for (const auto& [distance, home] : nearest) {
-      if (!std::isinf(distance) && expected_[home] <= kHomeCrowded * crowded && room(now, servers_[home]))
+      if (!std::isinf(distance) && expected_[home] <= kHomeFactor * bound && hasCapacity(now, servers_[home]))
         return home;
     }
-    if (sum <= 0) return least;
+    if (sum <= 0) return best;
     double rest = draw() * sum;
     for (ServerSlot slot = 0; slot < servers_.size() && rest >= 0; ++slot) {
-      if (odds_[slot] <= 0) continue;
-      least = slot;
-      rest -= odds_[slot];
+      if (pickWeights_[slot] <= 0) continue;
+      best = slot;
+      rest -= pickWeights_[slot];
     }
-    return least;
+    return best;
   }
 
-  // A trial costs what its query costs: one that may run again goes first, others only if none came for long.
-  [[nodiscard]] bool trialDue(Span now, const Server& server, const Held& held) const {
-    if (server.onTrial || now < server.trialAt || !server.out.empty()) return false;
-    return useCase(held).repeat == Repeat::idempotent || now >= server.trialAt + kEjectTime;
+  // Idempotent queries are preferred for trials, as a failed trial can then be retried.
+  [[nodiscard]] bool trialDue(Span now, const Server& server, const QueryState& query) const {
+    if (server.onTrial || now < server.trialAt || !server.inFlight.empty()) return false;
+    return useCase(query).retrySafety == RetrySafety::idempotent || now >= server.trialAt + kEjectTime;
   }
 
-  [[nodiscard]] bool room(Span now, Server& server) {
-    // Guards against a real mass failure, in which the cap keeps dead servers in the pool: one that failed
-    // often enough to be ejected stays in it, but gets one execution at a time, as in a trial.
-    if (server.run >= kFailuresToEject && !server.out.empty()) return false;
-    // The same for a lost location as one: its servers have one execution out between them.
-    if (lost(now, server.zone) && std::any_of(servers_.begin(), servers_.end(), [&](const Server& s) {
-          return s.zone == server.zone && !s.out.empty();
+  [[nodiscard]] bool hasCapacity(Span now, Server& server) {
+    // If the cap on ejections keeps a failing server in the pool, it gets one execution at a time.
+    if (server.consecutiveFailures >= kFailuresToEject && !server.inFlight.empty()) return false;
+    // A failed zone gets one execution at a time.
+    if (zoneDown(now, server.zone) && std::any_of(servers_.begin(), servers_.end(), [&](const Server& s) {
+          return s.zone == server.zone && !s.inFlight.empty();
         }))
       return false;
-    return load(now, server) + 1 <= std::max(1.0, server.limit) && coldRoom(now, server);
+    return load(now, server) + 1 <= std::max(1.0, server.limit) && hasColdCredit(now, server);
   }
 
-  // How long until one more execution may be out: the limits' sum binds too. Guards against a thousand
-  // balancers with one out each: a limit below one is saved up, in seconds of execution, and used up by it.
-  [[nodiscard]] Span poolWait(Span now) {
-    double out = 0;
+  // Time until another execution may start. The sum of all limits applies too; as it may be below one, unused
+  // capacity is saved up, in seconds of execution.
+  [[nodiscard]] Span timeToCapacity(Span now) {
+    double active = 0;
     double limits = 0;
     for (const Server& server : servers_) {
-      out += load(now, server);
-      if (inPool(now, server) && !server.ejected && !lost(now, server.zone)) limits += server.limit;
+      active += load(now, server);
+      if (inPool(now, server) && !server.ejected && !zoneDown(now, server.zone)) limits += server.limit;
     }
-    const double usual = answers_.mean(now, kUnmeasured);
-    saved_ = std::clamp(saved_ + (limits - out) * seconds(now - savedAt_), -kSaved * usual, kSaved * usual);
+    const double mean = latency_.mean(now, kInitialLatency);
+    saved_ =
+        std::clamp(saved_ + (limits - active) * seconds(now - savedAt_), -kMaxSaved * mean, kMaxSaved * mean);
     savedAt_ = now;
-    const double needed = usual * (out + 1) - saved_;
-    if (out + 1 <= limits || needed <= 0) return Span{0};
-    return scaled(1s, limits <= out ? usual : std::min(1.0, needed / (limits - out))) + Span{1};
+    const double needed = mean * (active + 1) - saved_;
+    if (active + 1 <= limits || needed <= 0) return Span{0};
+    return scaled(1s, limits <= active ? mean : std::min(1.0, needed / (limits - active))) + Span{1};
   }
 
-  // ---- Executions: a further one only as the use case's kind allows.
+  // ---- Retries and dispatch
 
-  [[nodiscard]] static const Execution* mayHaveRun(const Held& held) {
-    const auto at = std::find_if(held.executions.begin(), held.executions.end(),
-                                 [](const Execution& e) { return e.fate != Fate::neverRan; });
-    return at == held.executions.end() ? nullptr : &*at;
+  // The first execution that may have taken effect.
+  [[nodiscard]] static const Execution* firstExecuted(const QueryState& query) {
+    const auto at = std::find_if(query.executions.begin(), query.executions.end(),
+                                 [](const Execution& e) { return e.state != ExecState::notExecuted; });
+    return at == query.executions.end() ? nullptr : &*at;
   }
 
-  // Guards against a second effect: a repeat only where, and while, the servers discard it.
-  [[nodiscard]] bool groupAllows(Span now, const Held& held, const Server& server) const {
-    const Execution* first = mayHaveRun(held);
-    const UseCase& use = useCase(held);
-    if (first == nullptr || use.repeat == Repeat::idempotent) return true;
-    if (use.repeat == Repeat::nonIdempotent) return false;
-    if (now + 2 * terms_.tick >= first->sentAt + use.dedupWindow) return false;
+  // A query that may have been executed is retried only where the servers would discard a duplicate.
+  [[nodiscard]] bool retryAllowed(Span now, const QueryState& query, const Server& server) const {
+    const Execution* first = firstExecuted(query);
+    const UseCase& use = useCase(query);
+    if (first == nullptr || use.retrySafety == RetrySafety::idempotent) return true;
+    if (use.retrySafety == RetrySafety::nonIdempotent) return false;
+    if (now + 2 * config_.tick >= first->sentAt + use.dedupWindow) return false;
     const bool sameZone = server.zone == first->zone;
-    return use.group == DedupGroup::all ||
-           (sameZone && (use.group == DedupGroup::zone || server.cell == first->cell));
+    return use.dedupScope == DedupScope::all ||
+           (sameZone && (use.dedupScope == DedupScope::zone || server.cell == first->cell));
   }
 
-  [[nodiscard]] bool mayExecute(Span now, const Held& held) const {
-    if (held.answered || held.out > 0 || now + terms_.tick >= held.deadline) return false;
-    if (held.executions.size() >= std::min(terms_.mostExecutions, held.query.mostExecutions)) return false;
+  [[nodiscard]] bool mayExecute(Span now, const QueryState& query) const {
+    if (query.answered || query.inFlight > 0 || now + config_.tick >= query.deadline) return false;
+    if (query.executions.size() >= std::min(config_.maxExecutions, query.request.maxExecutions)) return false;
     return std::any_of(servers_.begin(), servers_.end(),
-                       [&](const Server& s) { return open(now, s) && groupAllows(now, held, s); });
+                       [&](const Server& s) { return available(now, s) && retryAllowed(now, query, s); });
   }
 
-  [[nodiscard]] bool hopeless(Span now, const Held& held) const {
-    const UseCase& use = useCase(held);
-    return now >= held.deadline || (use.lateImportance <= 0 && now >= held.arrived + use.sloTime);
+  [[nodiscard]] bool isExpired(Span now, const QueryState& query) const {
+    const UseCase& use = useCase(query);
+    return now >= query.deadline || (use.lateImportance <= 0 && now >= query.arrivedAt + use.sloTime);
   }
 
-  bool place(Span now, QuerySlot slot) {
-    Held& held = queries_[slot];
-    if (!mayExecute(now, held)) return false;
-    const std::optional<ServerSlot> picked = pick(now, held);
+  bool dispatch(Span now, QuerySlot slot) {
+    QueryState& query = queries_[slot];
+    if (!mayExecute(now, query)) return false;
+    const std::optional<ServerSlot> picked = pickServer(now, query);
     if (!picked) return false;
     Server& server = servers_[*picked];
-    const ExecutionNo no{static_cast<std::uint32_t>(held.executions.size())};
+    const ExecutionNo no{static_cast<std::uint32_t>(query.executions.size())};
     server.onTrial = server.ejected;
-    server.out.push_back(
-        {.query = slot, .no = no, .sentAt = now, .others = load(now, server), .coming = held.query.coming});
+    server.inFlight.push_back({.query = slot,
+                               .no = no,
+                               .sentAt = now,
+                               .others = load(now, server),
+                               .bodyStreaming = query.request.bodyStreaming});
     server.coldCredit -= 1;
-    held.executions.push_back({*picked, now, server.zone, server.cell});
-    ++held.out;
-    stopWaiting(slot);
-    host_.execute(held.query.id, server.id, held.deadline - now);
+    query.executions.push_back({*picked, now, server.zone, server.cell});
+    ++query.inFlight;
+    dequeue(slot);
+    host_.execute(query.request.id, server.id, query.deadline - now);
     return true;
   }
 
-  // ---- Waiting here for room, in the order of importance
+  // ---- The queue
 
-  void waitOrGiveUp(Span now, QuerySlot slot) {
-    Held& held = queries_[slot];
-    if (!mayExecute(now, held) || now >= giveUpAt(now, held)) return answer(now, slot);
-    held.rank = importance(now, held);
-    const auto before = [&](QuerySlot a, QuerySlot b) { return queries_[a].rank > queries_[b].rank; };
-    const auto at = std::upper_bound(waiting_.begin(), waiting_.end(), slot, before);
-    // Guards against waiting in vain: what is ahead must be gone in time at the rate of late.
-    const double ahead = static_cast<double>(at - waiting_.begin());
-    const double rate = answers_.count(now) / measuredSpan(now);
-    const double left = seconds(giveUpAt(now, held) - now - poolWait(now));
-    if (left < 0 || ahead > rate * left) return answer(now, slot);
-    waiting_.insert(at, slot);
-    held.waiting = true;
+  void enqueueOrFinish(Span now, QuerySlot slot) {
+    QueryState& query = queries_[slot];
+    if (!mayExecute(now, query) || now >= latestDispatch(now, query)) return finish(now, slot);
+    query.priority = queuePriority(now, query);
+    const auto before = [&](QuerySlot a, QuerySlot b) { return queries_[a].priority > queries_[b].priority; };
+    const auto at = std::upper_bound(queue_.begin(), queue_.end(), slot, before);
+    // Rejects the query at once if those ahead of it cannot be served in time at the current throughput.
+    const double ahead = static_cast<double>(at - queue_.begin());
+    const double rate = latency_.count(now) / statsTime(now);
+    const double left = seconds(latestDispatch(now, query) - now - timeToCapacity(now));
+    if (left < 0 || ahead > rate * left) return finish(now, slot);
+    queue_.insert(at, slot);
+    query.queued = true;
   }
 
-  // Guards against starving a use case in a long overload: what was served least lately moves forward.
-  [[nodiscard]] double importance(Span now, const Held& held) const {
-    const double served = std::max(kLeastServed, served_[held.query.useCase.value].mean(now, 1.0));
-    const double part = beyondShare(now, held) ? terms_.beyondShareImportance : 1.0;
-    return part * useCase(held).importance / served;
+  // Use cases that were rarely completed of late get a higher priority, so that none starves.
+  [[nodiscard]] double queuePriority(Span now, const QueryState& query) const {
+    const double served =
+        std::max(kMinCompletedShare, completed_[query.request.useCase.value].mean(now, 1.0));
+    const double part = exceedsAccountShare(now, query) ? config_.beyondShareImportance : 1.0;
+    return part * useCase(query).importance / served;
   }
 
-  // Guards against one account's surge: while it gets more of the answers than its part, it goes behind.
-  [[nodiscard]] bool beyondShare(Span now, const Held& held) const {
-    if (!held.query.account) return false;
-    const std::size_t account = held.query.account->value;
-    const double allowed = kShareSlack * terms_.accounts[account] * answers_.count(now);
-    return accountAnswers_[account].count(now) > allowed + 1;
+  [[nodiscard]] bool exceedsAccountShare(Span now, const QueryState& query) const {
+    if (!query.request.account) return false;
+    const std::size_t account = query.request.account->value;
+    const double allowed = kAccountTolerance * config_.accountShares[account] * latency_.count(now);
+    return accountResponses_[account].count(now) > allowed + 1;
   }
 
-  // The last moment at which an execution may still be answered within the SLO time.
-  [[nodiscard]] Span giveUpAt(Span now, const Held& held) const {
-    const Span usual = scaled(1s, kAnswerRoom * answers_.mean(now, kUnmeasured));
-    return std::min(held.deadline, held.arrived + useCase(held).sloTime) - usual;
+  // The latest time at which an execution is still expected to complete within the SLO time.
+  [[nodiscard]] Span latestDispatch(Span now, const QueryState& query) const {
+    const Span usual = scaled(1s, kLatencyMargin * latency_.mean(now, kInitialLatency));
+    return std::min(query.deadline, query.arrivedAt + useCase(query).sloTime) - usual;
   }
 
-  void stopWaiting(QuerySlot slot) {
-    if (!queries_[slot].waiting) return;
-    queries_[slot].waiting = false;
-    std::erase(waiting_, slot);
+  void dequeue(QuerySlot slot) {
+    if (!queries_[slot].queued) return;
+    queries_[slot].queued = false;
+    std::erase(queue_, slot);
   }
 
-  void placeWaiting(Span now) {
-    for (std::size_t i = 0; i < waiting_.size();) {
-      const QuerySlot slot = waiting_[i];
-      if (now >= giveUpAt(now, queries_[slot]) || !mayExecute(now, queries_[slot])) {
-        stopWaiting(slot);
-        answer(now, slot);
-      } else if (!place(now, slot)) {
+  void dispatchQueued(Span now) {
+    for (std::size_t i = 0; i < queue_.size();) {
+      const QuerySlot slot = queue_[i];
+      if (now >= latestDispatch(now, queries_[slot]) || !mayExecute(now, queries_[slot])) {
+        dequeue(slot);
+        finish(now, slot);
+      } else if (!dispatch(now, slot)) {
         ++i;
       }
     }
   }
 
-  // ---- The final answer, once
+  // ---- Final answers
 
-  void answer(Span now, QuerySlot slot) {
-    Held& held = queries_[slot];
-    if (held.answered) return;
-    held.answered = true;
-    served_[held.query.useCase.value].add(now, 0);
-    const UseCase& use = useCase(held);
-    const bool harmless = mayHaveRun(held) == nullptr || use.repeat == Repeat::idempotent ||
-                          (use.repeat == Repeat::deduplicated && use.group == DedupGroup::all);
-    if (!harmless || now >= held.deadline)
-      host_.abort(held.query.id);
+  void finish(Span now, QuerySlot slot) {
+    QueryState& query = queries_[slot];
+    if (query.answered) return;
+    query.answered = true;
+    completed_[query.request.useCase.value].add(now, 0);
+    const UseCase& use = useCase(query);
+    const bool harmless = firstExecuted(query) == nullptr || use.retrySafety == RetrySafety::idempotent ||
+                          (use.retrySafety == RetrySafety::deduplicated && use.dedupScope == DedupScope::all);
+    if (!harmless || now >= query.deadline)
+      host_.abort(query.request.id);
     else
-      host_.reject(held.query.id, std::min(kAdvice, terms_.longestAdvice));
+      host_.reject(query.request.id, std::min(kRetryAfter, config_.maxRetryAfter));
     release(slot);
   }
 
-  // ---- Housekeeping
+  // ---- Query slots and timers
 
-  QuerySlot freeSlot() {
-    const auto free = std::ranges::find(queries_, false, &Held::inUse);
+  QuerySlot allocateSlot() {
+    const auto free = std::ranges::find(queries_, false, &QueryState::inUse);
     const auto slot = static_cast<QuerySlot>(free - queries_.begin());
     if (free == queries_.end()) queries_.emplace_back();
     return slot;
   }
 
   void release(QuerySlot slot) {
-    Held& held = queries_[slot];
-    if (!held.inUse || !held.answered || held.out > 0) return;
-    held = Held{.turn = held.turn + 1};
+    QueryState& query = queries_[slot];
+    if (!query.inUse || !query.answered || query.inFlight > 0) return;
+    query = QueryState{.generation = query.generation + 1};
   }
 
-  // One pending wake at the earliest time that anything is due.
-  void arm(Span now) {
-    Span due = listAgain_ ? now : askAt_;
-    for (const QuerySlot slot : waiting_) due = std::min(due, giveUpAt(now, queries_[slot]));
-    if (!waiting_.empty()) due = std::min(due, now + std::max(poolWait(now), kLeastWait));
+  void scheduleWake(Span now) {
+    Span due = relistDue_ ? now : watchAt_;
+    for (const QuerySlot slot : queue_) due = std::min(due, latestDispatch(now, queries_[slot]));
+    if (!queue_.empty()) due = std::min(due, now + std::max(timeToCapacity(now), kMinQueueRecheck));
     for (const Server& server : servers_) {
-      for (const Pending& pending : server.out)
-        if (!pending.overdue && !idle(pending)) due = std::min(due, overdueAt(now, pending));
+      for (const InFlight& pending : server.inFlight)
+        if (!pending.overdue && !isIdle(pending)) due = std::min(due, overdueAt(now, pending));
     }
-    due = std::max(due, now + terms_.tick);
+    due = std::max(due, now + config_.tick);
     if (due >= wakeAt_ || due == Span::max()) return;
     wakeAt_ = due;
     host_.wakeAt(due);
   }
 
-  Terms terms_;
-  Host& host_;
-  std::ranlux24_base chance_;
+  BalancerConfig config_;
+  BalancerHost& host_;
+  std::ranlux24_base random_;
   std::vector<Server> servers_;
-  std::vector<Held> queries_;
-  std::vector<QuerySlot> waiting_;  // the most important first
-  std::vector<ServerSlot> order_;   // scratch of fillSet()
-  std::vector<double> expected_;    // scratch of pick(), by server slot
-  std::vector<double> odds_;        // scratch of pick(), by server slot
-  Ring answers_;
-  Ring paces_;     // seconds, as each server's
-  Ring services_;  // seconds, as reported
-  std::vector<Ring> accountAnswers_;
-  std::vector<Ring> served_;             // by use case: 1 for each query completed, 0 for each given up
-  std::array<double, 2> warmAnswers_{};  // of servers outside the set, and of its members
-  std::array<double, 2> warmTime_{};     // seconds of warm servers, by their size
-  Span warmAt_{};
-  double listedCount_ = 0;  // servers in the last good list
-  double meanWeight_ = 1;   // theirs
-  double setSize_ = 0;      // servers wanted in the set
-  std::uint32_t setPicks_ = 0;
-  std::array<Ring, 2> answersFrom_;       // other zones, and the own
-  std::array<double, 2> unloaded_{1, 1};  // seconds; the least mean answer time so far of each
-  std::vector<Location> locations_;       // by zone
-  double held_ = 0;                       // queries for each core in the pool, as listed
-  double saved_ = 1;  // seconds of execution that the limits allow; at the start all that may be saved
+  std::vector<QueryState> queries_;
+  std::vector<QuerySlot> queue_;     // by descending priority
+  std::vector<ServerSlot> order_;    // scratch of fillSubset()
+  std::vector<double> expected_;     // scratch of pickServer(), by server slot
+  std::vector<double> pickWeights_;  // scratch of pickServer(), by server slot
+  RecentStats latency_;
+  RecentStats unitLatency_;  // of all servers
+  RecentStats reported_;     // seconds, as reported by servers
+  std::vector<RecentStats> accountResponses_;
+  std::vector<RecentStats> completed_;         // by use case: 1 per completed query, 0 per given up
+  std::array<double, 2> warmResponses_{};      // of servers outside the subset, and of members
+  std::array<double, 2> warmServerSeconds_{};  // likewise, weighted by server size
+  Span warmMeasuredAt_{};
+  double listedCount_ = 0;  // available servers
+  double meanWeight_ = 1;   // of available servers
+  double subsetSize_ = 0;   // wanted
+  std::uint32_t subsetPicks_ = 0;
+  std::array<RecentStats, 2> zoneLatency_;  // of other zones, and of the own
+  std::array<double, 2> unloaded_{1, 1};    // seconds; lowest mean so far
+  std::vector<ZoneFailures> zoneFailures_;  // by zone
+  double meanListedLoad_ = 0;               // queries per core in the pool
+  double saved_ = 1;                        // seconds of execution; see timeToCapacity()
   Span savedAt_{};
-  Span askAt_ = Span::max();
-  Span askBackoff_ = std::max(kFirstAsk, allCalls());
+  Span watchAt_ = Span::max();
+  Span watchBackoff_ = std::max(kMinBackoff, callSpread());
   Span wakeAt_ = Span::max();
-  bool doubting_ = false;
-  bool listAgain_ = false;
+  bool removalDeferred_ = false;
+  bool relistDue_ = false;
 };
 
-// ---- The public face
+// ---- Public interface
 
-Balancer::Balancer(Terms terms, Host& host) : decider_(std::make_unique<Decider>(std::move(terms), host)) {}
+Balancer::Balancer(BalancerConfig config, BalancerHost& host)
+    : impl_(std::make_unique<BalancerImpl>(std::move(config), host)) {}
 Balancer::~Balancer() = default;
 
-QueryHandle Balancer::take(Span now, const Query& query) {
-  const auto [slot, turn] = decider_->take(now, query);
-  return {*decider_, slot, turn};
+QueryHandle Balancer::submit(Span now, const Query& query) {
+  const auto [slot, generation] = impl_->submit(now, query);
+  return {*impl_, slot, generation};
 }
-void Balancer::serversListed(Span now, Listing listing, std::span<const ListedServer> servers) {
-  decider_->serversListed(now, listing, servers);
+void Balancer::serversListed(Span now, ServerListKind listing, std::span<const ListedServer> servers) {
+  impl_->serversListed(now, listing, servers);
 }
-void Balancer::fleetOf(std::uint32_t balancers) { decider_->fleetOf(balancers); }
-void Balancer::discoveryFailed(Span now) { decider_->discoveryFailed(now); }
-void Balancer::wake(Span now) { decider_->wake(now); }
-void Balancer::takeOut(Span now, ServerId server) { decider_->takeOut(now, server); }
-void Balancer::putBack(Span now, ServerId server) { decider_->putBack(now, server); }
-bool Balancer::avoids(Span now, ServerId server) const { return decider_->avoids(now, server); }
-Learned Balancer::learned(Span now) const { return decider_->learned(now); }
-void Balancer::learn(Span now, const Learned& learned) { decider_->learn(now, learned); }
-Standing Balancer::standing(Span now) const { return decider_->standing(now); }
+void Balancer::setBalancerCount(std::uint32_t balancers) { impl_->setBalancerCount(balancers); }
+void Balancer::discoveryFailed(Span now) { impl_->discoveryFailed(now); }
+void Balancer::wake(Span now) { impl_->wake(now); }
+void Balancer::disableServer(Span now, ServerId server) { impl_->disableServer(now, server); }
+void Balancer::enableServer(Span now, ServerId server) { impl_->enableServer(now, server); }
+bool Balancer::isExcluded(Span now, ServerId server) const { return impl_->isExcluded(now, server); }
+BalancerSnapshot Balancer::snapshot(Span now) const { return impl_->snapshot(now); }
+void Balancer::restore(Span now, const BalancerSnapshot& snapshot) { impl_->restore(now, snapshot); }
+PoolStatus Balancer::poolStatus(Span now) const { return impl_->poolStatus(now); }
 
 void QueryHandle::executionEnded(Span now, ExecutionNo execution, Outcome outcome, bool terminal,
                                  Span service) {
-  if (!over()) decider_->executionEnded(now, slot_, execution, outcome, terminal, service);
+  if (!finished()) impl_->executionEnded(now, slot_, execution, outcome, terminal, service);
 }
-void QueryHandle::answerStarted(Span now, ExecutionNo execution) {
-  if (!over()) decider_->answerStarted(now, slot_, execution);
+void QueryHandle::responseStarted(Span now, ExecutionNo execution) {
+  if (!finished()) impl_->responseStarted(now, slot_, execution);
 }
-void QueryHandle::bodyWhole(Span now) {
-  if (!over()) decider_->bodyWhole(now, slot_);
+void QueryHandle::bodyComplete(Span now) {
+  if (!finished()) impl_->bodyComplete(now, slot_);
 }
 void QueryHandle::clientLeft(Span now) {
-  if (!over()) decider_->clientLeft(now, slot_);
+  if (!finished()) impl_->clientLeft(now, slot_);
 }
-bool QueryHandle::over() const { return !decider_->current(slot_, turn_); }
+bool QueryHandle::finished() const { return !impl_->isCurrent(slot_, generation_); }
 
 }  // namespace rackroute
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -10,7 +10,7 @@
 #include <tuple>
 #include <vector>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::fleet {
 
--- a/src/handover/learned.cpp
+++ b/src/handover/learned.cpp
@@ -21,42 +21,44 @@
 
 }  // namespace
 
-std::string text(const Learned& all) {
+std::string text(const BalancerSnapshot& all) {
   std::ostringstream out;
   out.precision(12);
-  out << all.answerTime << ' ' << all.answersPerSecond << ' ' << all.setSize;
-  for (const auto& pair : {all.warmAnswers, all.warmTime, all.unloaded})
+  out << all.meanLatency << ' ' << all.responsesPerSecond << ' ' << all.subsetSize;
+  for (const auto& pair : {all.warmResponses, all.warmServerSeconds, all.unloadedLatency})
     out << ' ' << pair[0] << ' ' << pair[1];
   out << ' ' << all.servers.size();
-  for (const LearnedServer& server : all.servers) {
+  for (const ServerSnapshot& server : all.servers) {
     out << '\n'
-        << server.id.value << ' ' << server.used << ' ' << server.ejected << ' ' << server.run << ' '
-        << server.trialIn.count() << ' ' << server.weight << ' ' << server.limit << ' ' << server.coldCredit
-        << ' ' << server.pace << ' ' << server.service;
+        << server.id.value << ' ' << server.inSubset << ' ' << server.ejected << ' '
+        << server.consecutiveFailures << ' ' << server.trialIn.count() << ' ' << server.weight << ' '
+        << server.limit << ' ' << server.coldCredit << ' ' << server.unitLatency << ' ' << server.serviceTime;
   }
   return out.str() + "\nend";
 }
 
-std::optional<Learned> readLearned(const std::string& text) {
+std::optional<BalancerSnapshot> readLearned(const std::string& text) {
   std::istringstream in(text);
-  Learned all;
+  BalancerSnapshot all;
   std::size_t servers = 0;
-  in >> all.answerTime >> all.answersPerSecond >> all.setSize;
-  for (auto* pair : {&all.warmAnswers, &all.warmTime, &all.unloaded}) in >> (*pair)[0] >> (*pair)[1];
+  in >> all.meanLatency >> all.responsesPerSecond >> all.subsetSize;
+  for (auto* pair : {&all.warmResponses, &all.warmServerSeconds, &all.unloadedLatency})
+    in >> (*pair)[0] >> (*pair)[1];
   in >> servers;
-  if (!in || servers > kMostServers || all.answersPerSecond > kMostAnswers) return std::nullopt;
-  if (!plain({all.answerTime, all.answersPerSecond, all.setSize, all.warmAnswers[0], all.warmAnswers[1],
-              all.warmTime[0], all.warmTime[1], all.unloaded[0], all.unloaded[1]}))
+  if (!in || servers > kMostServers || all.responsesPerSecond > kMostAnswers) return std::nullopt;
+  if (!plain({all.meanLatency, all.responsesPerSecond, all.subsetSize, all.warmResponses[0],
+              all.warmResponses[1], all.warmServerSeconds[0], all.warmServerSeconds[1],
+              all.unloadedLatency[0], all.unloadedLatency[1]}))
     return std::nullopt;
   for (; servers > 0; --servers) {
-    LearnedServer server;
+    ServerSnapshot server;
     Span::rep trialIn = 0;
-    in >> server.id.value >> server.used >> server.ejected >> server.run >> trialIn >> server.weight >>
-        server.limit >> server.coldCredit >> server.pace >> server.service;
+    in >> server.id.value >> server.inSubset >> server.ejected >> server.consecutiveFailures >> trialIn >>
+        server.weight >> server.limit >> server.coldCredit >> server.unitLatency >> server.serviceTime;
     server.trialIn = Span{trialIn};
     // Credit may be owed, and a warm server's is no longer reckoned.
-    if (!in || !plain({server.weight, server.limit, server.pace, server.service}) || server.weight > 1 ||
-        !std::isfinite(server.coldCredit) || server.run > kMostRun)
+    if (!in || !plain({server.weight, server.limit, server.unitLatency, server.serviceTime}) ||
+        server.weight > 1 || !std::isfinite(server.coldCredit) || server.consecutiveFailures > kMostRun)
       return std::nullopt;
     all.servers.push_back(server);
   }
--- a/src/handover/learned.hpp
+++ b/src/handover/learned.hpp
@@ -10,8 +10,8 @@
 
 namespace rackroute::handover {
 
-std::string text(const Learned& learned);
+std::string text(const BalancerSnapshot& learned);
 /// Nothing if it is not whole, or holds what can't be.
-std::optional<Learned> readLearned(const std::string& text);
+std::optional<BalancerSnapshot> readLearned(const std::string& text);
 
 }  // namespace rackroute::handover
--- a/src/handover/said.hpp
+++ b/src/handover/said.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::handover {
 
--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -33,7 +33,7 @@
 }
 
 bool neverRan(Outcome outcome) {
-  return outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::moot;
+  return outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::invalidQuery;
 }
 
 std::string serverName(ServerId server) { return "server " + std::to_string(server.value); }
@@ -95,13 +95,13 @@
       breach(Rule::noEffectTwice, now, query, "sent while an earlier execution is out");
       break;
     }
-    if (!before.mayHaveRun || use.repeat == Repeat::idempotent) continue;
-    if (use.repeat == Repeat::nonIdempotent) {
+    if (!before.mayHaveRun || use.retrySafety == RetrySafety::idempotent) continue;
+    if (use.retrySafety == RetrySafety::nonIdempotent) {
       breach(Rule::noEffectTwice, now, query, "non-idempotent, and an earlier execution may have run");
       break;
     }
-    const bool grouped = use.group == DedupGroup::all ||
-                         (use.group == DedupGroup::zone ? zone == before.zone : cell == before.cell);
+    const bool grouped = use.dedupScope == DedupScope::all ||
+                         (use.dedupScope == DedupScope::zone ? zone == before.zone : cell == before.cell);
     if (!grouped) breach(Rule::noEffectTwice, now, query, "repeated at servers that do not discard it");
     if (now > before.at + use.dedupWindow + measures_.lag)
       breach(Rule::noEffectTwice, now, query, "repeated after the window of the first that may have run");
@@ -171,8 +171,8 @@
     breach(Rule::answeredAtOnce, now, query, "held with nothing out, past its SLO time");
   const bool mayHaveRun =
       std::any_of(open.sent.begin(), open.sent.end(), [](const Sent& s) { return s.mayHaveRun; });
-  const bool harmless = use.repeat == Repeat::idempotent ||
-                        (use.repeat == Repeat::deduplicated && use.group == DedupGroup::all);
+  const bool harmless = use.retrySafety == RetrySafety::idempotent ||
+                        (use.retrySafety == RetrySafety::deduplicated && use.dedupScope == DedupScope::all);
   if (answer == Answer::rejected && mayHaveRun && !harmless)
     breach(Rule::noEffectTwice, now, query,
            "rejected, which calls a repeat harmless, though it may have run");
@@ -198,8 +198,8 @@
     open_.erase(at);
 }
 
-void Audit::effect(Span now, QueryNo query, std::uint64_t mark, Repeat repeat, ServerId server) {
-  if (repeat == Repeat::idempotent) return;
+void Audit::effect(Span now, QueryNo query, std::uint64_t mark, RetrySafety repeat, ServerId server) {
+  if (repeat == RetrySafety::idempotent) return;
   while (!effectOrder_.empty() && effectOrder_.front().first + kRemembered < now) {
     effects_.erase(effectOrder_.front().second);
     effectOrder_.pop_front();
@@ -215,7 +215,7 @@
   watch = {};
   watch.startedAt = now;
   watch.capacity = fullCapacity;
-  watch.cold = measures_.coldTime > Span{0} && measures_.tipMultiple > 0;
+  watch.cold = measures_.coldTime > Span{0} && measures_.overloadMultiple > 0;
 }
 
 void Audit::stopped(Span, ServerId server) {
@@ -237,7 +237,7 @@
     const double age = std::max(0.0, seconds(at - watch.startedAt)) / seconds(measures_.coldTime);
     return std::min(1.0, measures_.coldShare + (1 - measures_.coldShare) * age);
   };
-  return measures_.tipMultiple * watch.capacity * warmth(now) * seconds(measures_.tipWindow);
+  return measures_.overloadMultiple * watch.capacity * warmth(now) * seconds(measures_.overloadWindow);
 }
 
 void Audit::pressed(Span now, ServerId server, BalancerNo from, double work) {
@@ -247,7 +247,7 @@
   if (now >= watch.startedAt + measures_.coldTime) return warm(server, watch);
   const auto told = watch.toldStart.find(from);
   watch.pressed.push_back({now, work, told != watch.toldStart.end()});
-  while (watch.pressed.front().at + measures_.tipWindow < now) watch.pressed.pop_front();
+  while (watch.pressed.front().at + measures_.overloadWindow < now) watch.pressed.pop_front();
   double sum = 0;
   double byTold = 0;
   for (const ServerWatch::Press& press : watch.pressed) {
@@ -282,7 +282,7 @@
   list.until = std::max(list.until, until);
 }
 
-void Audit::ejected(Span now, BalancerNo at, Standing before, Standing after) {
+void Audit::ejected(Span now, BalancerNo at, PoolStatus before, PoolStatus after) {
   if (after.ejected <= before.ejected || after.ejected <= measures_.mostEjected * after.pool) return;
   breach(
       Rule::capKept, now, "balancer " + std::to_string(at),
--- a/src/lab/audit.hpp
+++ b/src/lab/audit.hpp
@@ -39,8 +39,8 @@
   Span drainGrace{};
   double coldShare = 1;
   Span coldTime{};
-  double tipMultiple = 0;
-  Span tipWindow{};
+  double overloadMultiple = 0;
+  Span overloadWindow{};
   double mostEjected = 0.5;  // of the pool; the design page's
   Span lag{};                // more for each time limit; 0 in virtual time
 };
@@ -69,7 +69,7 @@
   void answered(Span now, QueryNo query, Answer answer);
   void clientLeft(Span now, QueryNo query);
   /// An execution took effect at a server, whoever still waits for it.
-  void effect(Span now, QueryNo query, std::uint64_t mark, Repeat repeat, ServerId server);
+  void effect(Span now, QueryNo query, std::uint64_t mark, RetrySafety repeat, ServerId server);
 
   // ---- Servers and lists
   void started(Span now, ServerId server, double fullCapacity);
@@ -80,7 +80,7 @@
   void told(Span now, BalancerNo at, ServerId server, Lifecycle lifecycle, std::optional<Span> started);
   /// A balancer's discovery failed, or told a list that lost over half of it at once while the servers serve.
   void doubtful(Span now, BalancerNo at, Span until);
-  void ejected(Span now, BalancerNo at, Standing before, Standing after);
+  void ejected(Span now, BalancerNo at, PoolStatus before, PoolStatus after);
 
   /// The run is over; what is still owed is a breach.
   void close(Span now);
--- a/src/lab/contender.cpp
+++ b/src/lab/contender.cpp
@@ -12,11 +12,11 @@
 
 class Module : public Contender {
  public:
-  Module(const Terms& terms, Host& host) : balancer_(terms, host) {}
+  Module(const BalancerConfig& terms, BalancerHost& host) : balancer_(terms, host) {}
 
   void take(Span now, const Query& query) override {
-    const QueryHandle handle = balancer_.take(now, query);
-    if (!handle.over()) handles_.emplace(query.id.value, handle);
+    const QueryHandle handle = balancer_.submit(now, query);
+    if (!handle.finished()) handles_.emplace(query.id.value, handle);
   }
   void executionEnded(Span now, QueryId query, ExecutionNo no, Outcome outcome, bool terminal,
                       Span service) override {
@@ -25,12 +25,12 @@
   void clientLeft(Span now, QueryId query) override {
     with(query, [&](QueryHandle& handle) { handle.clientLeft(now); });
   }
-  void serversListed(Span now, Listing listing, std::span<const ListedServer> servers) override {
+  void serversListed(Span now, ServerListKind listing, std::span<const ListedServer> servers) override {
     balancer_.serversListed(now, listing, servers);
   }
   void discoveryFailed(Span now) override { balancer_.discoveryFailed(now); }
   void wake(Span now) override { balancer_.wake(now); }
-  [[nodiscard]] Standing standing(Span now) const override { return balancer_.standing(now); }
+  [[nodiscard]] PoolStatus standing(Span now) const override { return balancer_.poolStatus(now); }
 
  private:
   // What the module answers by itself, in a wake or for another query, is swept out at its next mention.
@@ -39,9 +39,9 @@
     const auto at = handles_.find(query.value);
     if (at == handles_.end()) return;
     call(at->second);
-    if (at->second.over()) handles_.erase(at);
+    if (at->second.finished()) handles_.erase(at);
     if (handles_.size() < 2 * sweptTo_ + 64) return;
-    std::erase_if(handles_, [](const auto& entry) { return entry.second.over(); });
+    std::erase_if(handles_, [](const auto& entry) { return entry.second.finished(); });
     sweptTo_ = handles_.size();
   }
 
@@ -54,8 +54,8 @@
 /// again too, and give up else.
 class Baseline : public Contender {
  public:
-  Baseline(const Terms& terms, Host& host)
-      : terms_(terms), host_(host), chance_(chanceOf(terms.seed, Purpose::policy, terms.number)) {
+  Baseline(const BalancerConfig& terms, BalancerHost& host)
+      : terms_(terms), host_(host), chance_(chanceOf(terms.seed, Purpose::policy, terms.balancerIndex)) {
     if (terms_.discoveryOnRequest) host_.watchServers();
   }
 
@@ -74,18 +74,18 @@
       return;
     }
     const bool never =
-        outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::moot;
+        outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::invalidQuery;
     if (!never) at->second.mayHaveRun = true;
-    const Repeat repeat = terms_.useCases[at->second.query.useCase.value].repeat;
-    if (at->second.mayHaveRun && repeat != Repeat::idempotent) return giveUp(now, at);
+    const RetrySafety repeat = terms_.useCases[at->second.query.useCase.value].retrySafety;
+    if (at->second.mayHaveRun && repeat != RetrySafety::idempotent) return giveUp(now, at);
     place(now, query);
   }
   void clientLeft(Span, QueryId query) override {
     const auto at = open_.find(query);
     if (at != open_.end()) at->second.left = true;
   }
-  void serversListed(Span, Listing listing, std::span<const ListedServer> servers) override {
-    if (listing != Listing::changes) held_.clear();
+  void serversListed(Span, ServerListKind listing, std::span<const ListedServer> servers) override {
+    if (listing != ServerListKind::changes) held_.clear();
     for (const ListedServer& server : servers) {
       const auto at = std::find(held_.begin(), held_.end(), server.id);
       if (server.lifecycle == Lifecycle::serving && at == held_.end())
@@ -101,8 +101,8 @@
  protected:
   virtual std::optional<ServerId> pick() = 0;
 
-  Terms terms_;
-  Host& host_;
+  BalancerConfig terms_;
+  BalancerHost& host_;
   Chance chance_;
   std::vector<ServerId> held_;
   std::unordered_map<std::uint64_t, std::size_t> outById_;
@@ -126,7 +126,7 @@
     const auto at = open_.find(query);
     Open& open = at->second;
     const std::optional<ServerId> server =
-        open.executions < terms_.mostExecutions && now + terms_.tick < open.deadline ? pick() : std::nullopt;
+        open.executions < terms_.maxExecutions && now + terms_.tick < open.deadline ? pick() : std::nullopt;
     if (!server) return giveUp(now, at);
     ++open.executions;
     open.server = *server;
@@ -135,8 +135,9 @@
   }
   void giveUp(Span now, std::map<QueryId, Open>::iterator at) {
     const QueryId query = at->first;
-    const bool harmless = !at->second.mayHaveRun ||
-                          terms_.useCases[at->second.query.useCase.value].repeat == Repeat::idempotent;
+    const bool harmless =
+        !at->second.mayHaveRun ||
+        terms_.useCases[at->second.query.useCase.value].retrySafety == RetrySafety::idempotent;
     const bool reject = harmless && now < at->second.deadline;
     open_.erase(at);
     if (reject)
@@ -158,7 +159,7 @@
 
 class RoundRobin : public Baseline {
  public:
-  RoundRobin(const Terms& terms, Host& host) : Baseline(terms, host), next_(chance_()) {}
+  RoundRobin(const BalancerConfig& terms, BalancerHost& host) : Baseline(terms, host), next_(chance_()) {}
 
  private:
   std::optional<ServerId> pick() override {
@@ -178,14 +179,15 @@
 
 class AllSeeing : public Baseline {
  public:
-  AllSeeing(const Terms& terms, Host& host, TrueWait sees) : Baseline(terms, host), sees_(std::move(sees)) {}
+  AllSeeing(const BalancerConfig& terms, BalancerHost& host, TrueWait sees)
+      : Baseline(terms, host), sees_(std::move(sees)) {}
 
  private:
   std::optional<ServerId> pick() override {
     std::optional<ServerId> best;
     double least = 0;
     for (const ServerId server : held_) {
-      const double wait = sees_(terms_.number, server);
+      const double wait = sees_(terms_.balancerIndex, server);
       if (wait < 0 || (best && wait >= least)) continue;
       best = server;
       least = wait;
@@ -210,7 +212,7 @@
   throw std::invalid_argument("no such policy: " + std::string(name));
 }
 
-std::unique_ptr<Contender> makeContender(PolicyKind kind, const Terms& terms, Host& host,
+std::unique_ptr<Contender> makeContender(PolicyKind kind, const BalancerConfig& terms, BalancerHost& host,
                                          const TrueWait& sees) {
   switch (kind) {
     case PolicyKind::module:
--- a/src/lab/contender.hpp
+++ b/src/lab/contender.hpp
@@ -28,10 +28,10 @@
   virtual void executionEnded(Span now, QueryId query, ExecutionNo no, Outcome outcome, bool terminal,
                               Span service) = 0;
   virtual void clientLeft(Span now, QueryId query) = 0;
-  virtual void serversListed(Span now, Listing listing, std::span<const ListedServer> servers) = 0;
+  virtual void serversListed(Span now, ServerListKind listing, std::span<const ListedServer> servers) = 0;
   virtual void discoveryFailed(Span now) = 0;
   virtual void wake(Span now) = 0;
-  [[nodiscard]] virtual Standing standing(Span) const { return {}; }
+  [[nodiscard]] virtual PoolStatus standing(Span) const { return {}; }
 };
 
 /// What the all-seeing baseline sees: seconds until one more query would be answered there; negative: it
@@ -46,7 +46,7 @@
 inline constexpr std::array kPolicies = {PolicyKind::module, PolicyKind::random, PolicyKind::roundRobin,
                                          PolicyKind::leastOfTwo, PolicyKind::allSeeing};
 
-std::unique_ptr<Contender> makeContender(PolicyKind kind, const Terms& terms, Host& host,
+std::unique_ptr<Contender> makeContender(PolicyKind kind, const BalancerConfig& terms, BalancerHost& host,
                                          const TrueWait& sees);
 
 /// The less loaded of two drawn places, the first of them if equal.
--- a/src/lab/draws.hpp
+++ b/src/lab/draws.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::lab {
 
--- a/src/lab/mesh/judge.hpp
+++ b/src/lab/mesh/judge.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::lab::mesh {
 
--- a/src/lab/registry_model.cpp
+++ b/src/lab/registry_model.cpp
@@ -6,7 +6,7 @@
 namespace rackroute::lab {
 
 void RegistryModel::add(const RegisteredServer& server, bool there) {
-  entries_.push_back({server, there ? Lifecycle::serving : Lifecycle::gone, std::nullopt});
+  entries_.push_back({server, there ? Lifecycle::serving : Lifecycle::removed, std::nullopt});
 }
 
 void RegistryModel::change(ServerId server, Lifecycle lifecycle, std::optional<Span> startedAt) {
@@ -53,7 +53,7 @@
 std::vector<RegistryEntry> RegistryModel::whole() const {
   std::vector<RegistryEntry> all;
   for (const RegistryEntry& entry : entries_) {
-    if (entry.lifecycle == Lifecycle::gone) continue;
+    if (entry.lifecycle == Lifecycle::removed) continue;
     if (std::find(hidden_.begin(), hidden_.end(), entry.server.id) == hidden_.end()) all.push_back(entry);
   }
   return all;
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -64,8 +64,8 @@
   Section cold = all.sub("cold");
   into.traits.coldShare = cold.number("share", 0.3, 0.01, 1);
   into.traits.coldTime = cold.seconds("time_s", 10);
-  into.traits.tipMultiple = cold.number("tip_multiple", 3, 0, 100);
-  into.traits.tipWindow = cold.seconds("tip_window_s", 3, 0.1);
+  into.traits.overloadMultiple = cold.number("tip_multiple", 3, 0, 100);
+  into.traits.overloadWindow = cold.seconds("tip_window_s", 3, 0.1);
   cold.close();
   for (Section& section : all.each("server")) {
     ServerKind kind;
@@ -98,8 +98,8 @@
   into.drainGrace = rules.millis("drain_grace_ms", 500, 1);
   into.answerSlack = rules.millis("answer_slack_ms", 20);
   into.tick = rules.millis("tick_ms", 1, 0.1, 100);
-  into.mostExecutions = rules.whole("most_executions", 5, 1, 100);
-  into.longestAdvice = rules.millis("longest_advice_ms", 1000);
+  into.maxExecutions = rules.whole("most_executions", 5, 1, 100);
+  into.maxRetryAfter = rules.millis("longest_advice_ms", 1000);
   rules.close();
 }
 
@@ -129,13 +129,13 @@
     plan.work.shape = section.word<Shape>("work", Shape::lognormal, shapes());
     plan.work.mean = section.number("work_ms", 20, 0.001, 60'000) / 1000;
     plan.work.spread = section.number("work_spread", 0.5, 0, 20);
-    plan.terms.repeat = section.word<Repeat>("repeat", Repeat::idempotent,
-                                             {{"idempotent", Repeat::idempotent},
-                                              {"deduplicated", Repeat::deduplicated},
-                                              {"non_idempotent", Repeat::nonIdempotent}});
-    plan.terms.group = section.word<DedupGroup>(
-        "group", DedupGroup::all,
-        {{"all", DedupGroup::all}, {"zone", DedupGroup::zone}, {"cell", DedupGroup::cell}});
+    plan.terms.retrySafety = section.word<RetrySafety>("repeat", RetrySafety::idempotent,
+                                                       {{"idempotent", RetrySafety::idempotent},
+                                                        {"deduplicated", RetrySafety::deduplicated},
+                                                        {"non_idempotent", RetrySafety::nonIdempotent}});
+    plan.terms.dedupScope = section.word<DedupScope>(
+        "group", DedupScope::all,
+        {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
     plan.terms.dedupWindow = section.millis("window_ms", 2000, 1);
     plan.terms.importance = section.number("importance", 1, 0, 1000);
     plan.terms.lateImportance = section.number("late_importance", 0, 0, 1);
@@ -204,23 +204,23 @@
   return load * servers * capacity / shares / meanWork();
 }
 
-Terms Scenario::terms(std::uint64_t seed, std::uint32_t balancer) const {
-  Terms terms;
+BalancerConfig Scenario::terms(std::uint64_t seed, std::uint32_t balancer) const {
+  BalancerConfig terms;
   terms.seed = chanceOf(seed, Purpose::policy, balancer)();
   for (const UseCasePlan& plan : useCases) terms.useCases.push_back(plan.terms);
   terms.zone = {balancer % zones};
-  terms.balancers = balancers;
-  terms.number = balancer;
+  terms.balancerCount = balancers;
+  terms.balancerIndex = balancer;
   terms.discoveryOnRequest = onRequest;
-  terms.longestAdvice = longestAdvice;
-  terms.mostExecutions = mostExecutions;
-  terms.warmKeys = keys > 0 && traits.keySaving > 0;
+  terms.maxRetryAfter = maxRetryAfter;
+  terms.maxExecutions = maxExecutions;
+  terms.keyAffinity = keys > 0 && traits.keySaving > 0;
   terms.tick = tick;
   terms.drainGrace = drainGrace;
   terms.coldShare = traits.coldShare;
   terms.coldTime = traits.coldTime;
-  terms.tipMultiple = traits.tipMultiple;
-  terms.tipWindow = traits.tipWindow;
+  terms.overloadMultiple = traits.overloadMultiple;
+  terms.overloadWindow = traits.overloadWindow;
   return terms;
 }
 
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -14,7 +14,7 @@
 
 #include "lab/draws.hpp"
 #include "lab/server_model.hpp"
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::lab {
 
@@ -101,8 +101,8 @@
   Span drainGrace{};
   Span answerSlack{};
   Span tick{};
-  std::uint32_t mostExecutions = 5;
-  Span longestAdvice{};
+  std::uint32_t maxExecutions = 5;
+  Span maxRetryAfter{};
   double load = 0.6;  // of the servers' capacity, where no rate is given
   double rate = 0;    // queries a second of all clients together; 0: by load
   Arrivals arrivals = Arrivals::poisson;
@@ -126,7 +126,7 @@
   /// Queries a second of all clients, in the mean of a steady stretch.
   [[nodiscard]] double queriesPerSecond() const;
   /// What a balancer is told at its start.
-  [[nodiscard]] Terms terms(std::uint64_t seed, std::uint32_t balancer) const;
+  [[nodiscard]] BalancerConfig terms(std::uint64_t seed, std::uint32_t balancer) const;
 };
 
 /// One value changed before the file is read: a dotted path, such as load.share or trouble.0.size.
--- a/src/lab/server_model.cpp
+++ b/src/lab/server_model.cpp
@@ -164,21 +164,21 @@
 
 // What reaches a cold server presses on it, also what it turns away; too much of it and it stays down.
 void ServerModel::pressed(Span now, double work) {
-  if (traits_.tipMultiple <= 0 || !up_ || !cold(now)) return;
+  if (traits_.overloadMultiple <= 0 || !up_ || !cold(now)) return;
   pressure_.emplace_back(now, work);
   pressureSum_ += work;
-  while (pressure_.front().first + traits_.tipWindow < now) {
+  while (pressure_.front().first + traits_.overloadWindow < now) {
     pressureSum_ -= pressure_.front().second;
     pressure_.pop_front();
   }
-  if (pressureSum_ > traits_.tipMultiple * capacity(now) * seconds(traits_.tipWindow)) fell_ = true;
+  if (pressureSum_ > traits_.overloadMultiple * capacity(now) * seconds(traits_.overloadWindow)) fell_ = true;
 }
 
 bool ServerModel::bears(Span now, double work) const {
-  if (traits_.tipMultiple <= 0 || !cold(now)) return true;
+  if (traits_.overloadMultiple <= 0 || !cold(now)) return true;
   double sum = work;
-  for (const auto& [at, pressing] : pressure_) sum += at + traits_.tipWindow < now ? 0 : pressing;
-  return sum <= kBorne * traits_.tipMultiple * capacity(now) * seconds(traits_.tipWindow);
+  for (const auto& [at, pressing] : pressure_) sum += at + traits_.overloadWindow < now ? 0 : pressing;
+  return sum <= kBorne * traits_.overloadMultiple * capacity(now) * seconds(traits_.overloadWindow);
 }
 
 void ServerModel::report(Span now, Span service) {
--- a/src/lab/server_model.hpp
+++ b/src/lab/server_model.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::lab {
 
@@ -30,13 +30,13 @@
 enum class CancelStops { nothing, queued, all };
 
 struct ServerTraits {
-  double cores = 1;        // whole
-  double speed = 1;        // of a standard core
-  std::size_t queue = 64;  // executions waiting
-  double coldShare = 1;    // of its capacity right after a start
-  Span coldTime{};         // until it is warm; 0: never cold
-  double tipMultiple = 0;  // of its present capacity; 0: never falls over
-  Span tipWindow{};
+  double cores = 1;             // whole
+  double speed = 1;             // of a standard core
+  std::size_t queue = 64;       // executions waiting
+  double coldShare = 1;         // of its capacity right after a start
+  Span coldTime{};              // until it is warm; 0: never cold
+  double overloadMultiple = 0;  // of its present capacity; 0: never falls over
+  Span overloadWindow{};
   double keySaving = 0;  // share of the work for a key met lately
   Span keyTime{};        // how long it remembers
   std::size_t keys = 0;  // how many it remembers
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -432,35 +432,35 @@
   });
   node.discovery->open();
   const auto millis = [](Span span) { return static_cast<double>(span.count()) / 1000; };
-  const Terms terms = scenario_.terms(plan_.seed, balancer);
+  const BalancerConfig terms = scenario_.terms(plan_.seed, balancer);
   Json settings;
   settings["locality"] = std::string("z").append(std::to_string(terms.zone.value));
   settings["granularity_ms"] = millis(scenario_.tick);
   settings["registry_mode"] = "on_request";
   settings["peers_total"] = scenario_.balancers;
   settings["my_number"] = balancer;
-  settings["family_info"]["warm_keys"] = terms.warmKeys;
+  settings["family_info"]["warm_keys"] = terms.keyAffinity;
   for (const UseCasePlan& plan : scenario_.useCases) {
     static constexpr std::array<const char*, 3> effects = {"retryable", "dedup", "fragile"};
     static constexpr std::array<const char*, 3> groups = {"all", "zone", "cell"};
     settings["use_cases"].push_back({{"name", plan.name},
-                                     {"effect", effects.at(static_cast<std::size_t>(plan.terms.repeat))},
-                                     {"group", groups.at(static_cast<std::size_t>(plan.terms.group))},
+                                     {"effect", effects.at(static_cast<std::size_t>(plan.terms.retrySafety))},
+                                     {"group", groups.at(static_cast<std::size_t>(plan.terms.dedupScope))},
                                      {"window_ms", millis(plan.terms.dedupWindow)},
                                      {"importance", plan.terms.importance},
                                      {"late_importance", plan.terms.lateImportance},
                                      {"slo_time_ms", millis(plan.terms.sloTime)}});
   }
-  settings["bounds"] = {{"max_executions", scenario_.mostExecutions},
+  settings["bounds"] = {{"max_executions", scenario_.maxExecutions},
                         {"dial_timeout_ms", millis(scenario_.dialTimeout)},
                         {"conn_idle_ms", millis(scenario_.connectionIdle)},
-                        {"retry_after", scenario_.longestAdvice > Span{0}},
-                        {"max_retry_after_ms", millis(scenario_.longestAdvice)}};
+                        {"retry_after", scenario_.maxRetryAfter > Span{0}},
+                        {"max_retry_after_ms", millis(scenario_.maxRetryAfter)}};
   settings["rules"] = {{"drain_grace_ms", millis(scenario_.drainGrace)},
                        {"cold_share", scenario_.traits.coldShare},
                        {"cold_ms", millis(scenario_.traits.coldTime)},
-                       {"tip_multiple", scenario_.traits.tipMultiple},
-                       {"overload_for_ms", millis(scenario_.traits.tipWindow)}};
+                       {"tip_multiple", scenario_.traits.overloadMultiple},
+                       {"overload_for_ms", millis(scenario_.traits.overloadWindow)}};
   std::ostringstream seed;
   seed << std::hex << terms.seed;
   Json config;
@@ -619,12 +619,13 @@
   const UseCasePlan& plan = scenario_.useCases[asked.ask.useCase];
   const auto left = std::max<std::int64_t>((asked.deadline - now()) / 1ms, 1);
   std::ostringstream text;
-  const bool reads = plan.terms.repeat == Repeat::idempotent;
+  const bool reads = plan.terms.retrySafety == RetrySafety::idempotent;
   text << (reads ? "GET /" : "POST /") << plan.name;
   if (asked.ask.key) text << '/' << std::hex << *asked.ask.key << std::dec;
   text << " HTTP/1.1\r\nHost: b\r\nX-Request-Id: " << query << "\r\nX-Class: " << plan.name
        << "\r\nX-Deadline-Ms: " << left << "\r\n";
-  if (plan.terms.repeat == Repeat::deduplicated) text << "Idempotency-Key: " << asked.ask.number << "\r\n";
+  if (plan.terms.retrySafety == RetrySafety::deduplicated)
+    text << "Idempotency-Key: " << asked.ask.number << "\r\n";
   text << (reads ? "\r\n" : "Content-Length: 2\r\n\r\n{}");
   std::shared_ptr<ClientLink> link;
   while (!node.idle.empty() && !link) {
@@ -807,7 +808,7 @@
   tally_.worked(finished.worked);
   if (finished.effect && !execution.error) {
     const UseCase& use = scenario_.useCases[asked.ask.useCase].terms;
-    audit_.effect(now(), query, asked.ask.number, use.repeat, servers_[server].drawn.id);
+    audit_.effect(now(), query, asked.ask.number, use.retrySafety, servers_[server].drawn.id);
   }
   if (execution.over || execution.error || asked.answered || asked.gone) tally_.wasted(finished.worked);
   if (execution.over) return;
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -26,13 +26,13 @@
   job.id = id;
   job.work = ask.work;
   job.key = ask.key;
-  if (use.repeat != Repeat::deduplicated) return job;
-  const std::int64_t number = use.group == DedupGroup::all    ? 0
-                              : use.group == DedupGroup::zone ? server.zone.value
-                                                              : server.cell.value;
+  if (use.retrySafety != RetrySafety::deduplicated) return job;
+  const std::int64_t number = use.dedupScope == DedupScope::all    ? 0
+                              : use.dedupScope == DedupScope::zone ? server.zone.value
+                                                                   : server.cell.value;
   job.mark = ask.number;
   job.window = use.dedupWindow;
-  job.marks = &marks_[{use.group, number}];
+  job.marks = &marks_[{use.dedupScope, number}];
   return job;
 }
 
@@ -45,13 +45,14 @@
                           : took <= plan.timeout     ? Fate::late
                                                      : Fate::failed};
   const Fate otherwise = how == Answer::rejected ? Fate::rejected : Fate::failed;
-  if (how != Answer::rejected && plan.terms.repeat != Repeat::idempotent) return {std::nullopt, otherwise};
+  if (how != Answer::rejected && plan.terms.retrySafety != RetrySafety::idempotent)
+    return {std::nullopt, otherwise};
   return again(scenario, ask, tries, ask.obeys ? std::max(advice, scenario.backoff) : scenario.backoff, now,
                otherwise);
 }
 
 NextStep afterSilence(const Scenario& scenario, const Ask& ask, std::uint32_t tries, Span now) {
-  if (scenario.useCases[ask.useCase].terms.repeat != Repeat::idempotent) return {};
+  if (scenario.useCases[ask.useCase].terms.retrySafety != RetrySafety::idempotent) return {};
   return again(scenario, ask, tries, scenario.backoff, now, Fate::failed);
 }
 
@@ -71,7 +72,7 @@
     if (!whole || named[i]) continue;
     ++lost;
     held[i] = false;
-    audit_.told(now, balancer, fleet_[i].id, Lifecycle::gone, std::nullopt);
+    audit_.told(now, balancer, fleet_[i].id, Lifecycle::removed, std::nullopt);
   }
   for (const RegistryEntry& entry : entries) held[entry.server.place] = entry.lifecycle == Lifecycle::serving;
   if (whole && 2 * lost > before)
@@ -114,7 +115,7 @@
           break;
         }
         run.die(server, trouble.kind == TroubleKind::zoneLost && trouble.size > kVanishes);
-        run.changed(server, Lifecycle::gone);
+        run.changed(server, Lifecycle::removed);
         break;
       case TroubleKind::drain:
         if (begins) {
@@ -122,7 +123,7 @@
           break;
         }
         run.die(server, false);
-        run.changed(server, Lifecycle::gone);
+        run.changed(server, Lifecycle::removed);
         run.later(span(trouble.size), [&run, server] { run.come(server); });
         break;
       case TroubleKind::join:
@@ -132,7 +133,7 @@
         // Out and in again, as the list has it; the server itself serves on.
         const Span step = span(std::max(trouble.size, kLeastStep));
         for (Span at{}; begins && at < trouble.length; at += 2 * step) {
-          run.later(at, [&run, server] { run.changed(server, Lifecycle::gone); });
+          run.later(at, [&run, server] { run.changed(server, Lifecycle::removed); });
           run.later(at + step, [&run, server] { run.changed(server, Lifecycle::serving); });
         }
         break;
--- a/src/lab/stand_in.hpp
+++ b/src/lab/stand_in.hpp
@@ -40,7 +40,7 @@
   Job jobOf(const Scenario& scenario, const Ask& ask, const FleetServer& server, std::uint64_t id);
 
  private:
-  std::map<std::pair<DedupGroup, std::int64_t>, Marks> marks_;
+  std::map<std::pair<DedupScope, std::int64_t>, Marks> marks_;
 };
 
 /// What a client does next: it comes again after so long, or it is over like this.
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -61,7 +61,7 @@
   double onTheWay = 0;          // seconds of work
 };
 
-class Sidecar : public Host {  // one balancer with its connections
+class Sidecar : public BalancerHost {  // one balancer with its connections
  public:
   Sidecar(World& world, std::uint32_t no, ZoneId zone) : world_(world), no_(no), zone_(zone) {}
   void execute(QueryId query, ServerId server, Span timeout) override;
@@ -81,7 +81,7 @@
   ZoneId zone_;
   std::unique_ptr<Contender> contender_;
   std::unordered_map<std::size_t, std::vector<Idle>> idle_;  // by server, the latest last
-  Standing standing_;
+  PoolStatus standing_;
 };
 
 class World : public Stricken {
@@ -138,7 +138,7 @@
   void push();
   void tellChanges(std::uint32_t balancer);
   void tellNow(std::uint32_t balancer);
-  void tell(std::uint32_t balancer, Listing listing, const std::vector<RegistryEntry>& entries);
+  void tell(std::uint32_t balancer, ServerListKind listing, const std::vector<RegistryEntry>& entries);
   void sample();
   double trueWait(std::uint32_t balancer, ServerId server);
   void sampleStanding(Sidecar& sidecar, bool mayHaveEjected);
@@ -204,19 +204,20 @@
     time_.at(planned.at, [plays] { plays(true); });
     time_.at(planned.at + planned.length, [plays] { plays(false); });
   }
-  const MakeContender make =
-      plan.make ? plan.make
-                : [kind = policyOf(plan.policy)](const Terms& terms, Host& host, const TrueWait& sees) {
-                    return makeContender(kind, terms, host, sees);
-                  };
+  const MakeContender make = plan.make
+                                 ? plan.make
+                                 : [kind = policyOf(plan.policy)](const BalancerConfig& terms,
+                                                                  BalancerHost& host, const TrueWait& sees) {
+                                     return makeContender(kind, terms, host, sees);
+                                   };
   for (std::uint32_t i = 0; i < scenario.balancers; ++i) {
-    const Terms terms = scenario.terms(plan.seed, i);
+    const BalancerConfig terms = scenario.terms(plan.seed, i);
     sidecars_.push_back(std::make_unique<Sidecar>(*this, i, terms.zone));
     Sidecar& sidecar = *sidecars_.back();
     sidecar.contender_ = make(terms, sidecar, [this](std::uint32_t balancer, ServerId server) {
       return trueWait(balancer, server);
     });
-    tell(i, Listing::persisted, registry_.whole());
+    tell(i, ServerListKind::persisted, registry_.whole());
     registry_.joined(i, !scenario.onRequest);
   }
 }
@@ -422,7 +423,7 @@
   const bool error = at != tries_.end() && at->second.executions[no].error;
   if (at != tries_.end() && finished.effect && !error) {
     const UseCase& use = scenario_.useCases[at->second.ask.useCase].terms;
-    audit_.effect(finished.at, query, at->second.ask.number, use.repeat, machine.drawn.id);
+    audit_.effect(finished.at, query, at->second.ask.number, use.retrySafety, machine.drawn.id);
   }
   log(server, finished, waits && !error);
   if (!waits || error || at->second.answered || at->second.gone) tally_.wasted(finished.worked);
@@ -506,7 +507,7 @@
 }
 
 void World::sampleStanding(Sidecar& sidecar, bool mayHaveEjected) {
-  const Standing now = sidecar.contender_->standing(time_.now());
+  const PoolStatus now = sidecar.contender_->standing(time_.now());
   if (mayHaveEjected) audit_.ejected(time_.now(), sidecar.no_, sidecar.standing_, now);
   sidecar.standing_ = now;
 }
@@ -628,12 +629,12 @@
 
 void World::tellChanges(std::uint32_t balancer) {
   if (!registry_.behind(balancer)) return;
-  tell(balancer, Listing::changes, registry_.changesFor(balancer));
+  tell(balancer, ServerListKind::changes, registry_.changesFor(balancer));
 }
 
 void World::tellNow(std::uint32_t balancer) {
   static_cast<void>(registry_.changesFor(balancer));
-  tell(balancer, Listing::complete, registry_.whole());
+  tell(balancer, ServerListKind::complete, registry_.whole());
 }
 
 void World::callDiscovery(std::uint32_t balancer, bool watch) {
@@ -649,18 +650,18 @@
     if (registry_.isOut()) return sidecars_[balancer]->contender_->discoveryFailed(time_.now());
     if (!watch) return tellNow(balancer);
     registry_.joined(balancer, true);
-    tell(balancer, Listing::changes, registry_.changesFor(balancer));
+    tell(balancer, ServerListKind::changes, registry_.changesFor(balancer));
   });
 }
 
-void World::tell(std::uint32_t balancer, Listing listing, const std::vector<RegistryEntry>& entries) {
+void World::tell(std::uint32_t balancer, ServerListKind listing, const std::vector<RegistryEntry>& entries) {
   Sidecar& sidecar = *sidecars_[balancer];
   const Span now = time_.now();
   std::vector<ListedServer> listed;
   for (const RegistryEntry& entry : entries)
     listed.push_back({entry.server.id, entry.lifecycle, entry.server.zone, entry.server.cell,
                       entry.server.size, entry.startedAt});
-  told_.tell(now, balancer, listing != Listing::changes, entries);
+  told_.tell(now, balancer, listing != ServerListKind::changes, entries);
   sidecar.contender_->serversListed(now, listing, listed);
   sampleStanding(sidecar, false);
 }
@@ -673,7 +674,7 @@
   double ejected = 0;
   double pool = 0;
   for (const auto& sidecar : sidecars_) {
-    const Standing standing = sidecar->contender_->standing(now);
+    const PoolStatus standing = sidecar->contender_->standing(now);
     ejected += standing.ejected;
     pool += standing.pool;
   }
@@ -707,8 +708,8 @@
   measures.drainGrace = scenario.drainGrace;
   measures.coldShare = scenario.traits.coldShare;
   measures.coldTime = scenario.traits.coldTime;
-  measures.tipMultiple = scenario.traits.tipMultiple;
-  measures.tipWindow = scenario.traits.tipWindow;
+  measures.overloadMultiple = scenario.traits.overloadMultiple;
+  measures.overloadWindow = scenario.traits.overloadWindow;
   return measures;
 }
 
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -16,7 +16,8 @@
 namespace rackroute::lab {
 
 /// Makes what decides; tests put broken ones in.
-using MakeContender = std::function<std::unique_ptr<Contender>(const Terms&, Host&, const TrueWait&)>;
+using MakeContender =
+    std::function<std::unique_ptr<Contender>(const BalancerConfig&, BalancerHost&, const TrueWait&)>;
 
 struct RunPlan {
   std::uint64_t seed = 1;
--- a/src/mesh/names.hpp
+++ b/src/mesh/names.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::mesh {
 
--- a/src/mesh/sidecar/shutdown_deadline.hpp
+++ b/src/mesh/sidecar/shutdown_deadline.hpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::mesh {
 
--- a/src/routes/table.hpp
+++ b/src/routes/table.hpp
@@ -19,7 +19,7 @@
 #include <utility>
 #include <vector>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::routes {
 
--- a/src/sidecar/client_side.cpp
+++ b/src/sidecar/client_side.cpp
@@ -247,8 +247,8 @@
     Query query;
     if (std::string_view lack = read(*message, query); !lack.empty()) return refuse(400, lack);
     if (!whole && message->word(0) == "GET") return refuse(400, "body");
-    query.coming = coming_ = !whole;
-    if (coming_) query.mostExecutions = 1;  // what was passed on is not kept
+    query.bodyStreaming = coming_ = !whole;
+    if (coming_) query.maxExecutions = 1;  // what was passed on is not kept
     query_ = query.id;
     ++queries_;
     openId_ = *message->field("X-Request-Id");
@@ -356,10 +356,10 @@
     if (end.ec != std::errc{} || end.ptr != time->data() + time->size() || millis == 0)
       return "deadline_not_whole_milliseconds";
     query.timeLeft = std::min<Span>(std::chrono::milliseconds(millis), kLongestTime);
-    const Repeat repeat = side_.told_.terms.useCases[query.useCase.value].repeat;
-    if (message.word(0) != (repeat == Repeat::idempotent ? "GET" : "POST")) return "method";
-    if (repeat == Repeat::idempotent && !message.body().empty()) return "body";
-    if (repeat == Repeat::deduplicated && message.field("Idempotency-Key").value_or("").empty())
+    const RetrySafety repeat = side_.told_.terms.useCases[query.useCase.value].retrySafety;
+    if (message.word(0) != (repeat == RetrySafety::idempotent ? "GET" : "POST")) return "method";
+    if (repeat == RetrySafety::idempotent && !message.body().empty()) return "body";
+    if (repeat == RetrySafety::deduplicated && message.field("Idempotency-Key").value_or("").empty())
       return "no_mark_against_repeats";
     // The last part of the path, beside the first: a number in hexadecimal digits.
     const std::size_t slash = path.rfind('/');
--- a/src/sidecar/discovery.cpp
+++ b/src/sidecar/discovery.cpp
@@ -29,7 +29,7 @@
 Lifecycle lifecycle(const std::string& status) {
   if (status == "up") return Lifecycle::serving;
   if (status == "draining") return Lifecycle::draining;
-  if (status == "removed") return Lifecycle::gone;
+  if (status == "removed") return Lifecycle::removed;
   throw std::invalid_argument("unknown status " + status);
 }
 
@@ -51,7 +51,7 @@
   const auto object = json.extract<Object::Ptr>();
   Listed listed;
   const auto version = object->getValue<std::uint64_t>("index");
-  listed.listing = object->getValue<bool>("snapshot") ? Listing::complete : Listing::changes;
+  listed.listing = object->getValue<bool>("snapshot") ? ServerListKind::complete : ServerListKind::changes;
   const Array::Ptr entries = object->getArray("endpoints");
   if (entries.isNull()) throw std::invalid_argument("no endpoints");
   for (const auto& entry : *entries) {
@@ -190,7 +190,7 @@
 
 // An empty list is doubted, and so is no list to hand on.
 void Discovery::keep(const Listed& listed) {
-  if (listed.listing != Listing::changes && !listed.entries.empty()) entries_.clear();
+  if (listed.listing != ServerListKind::changes && !listed.entries.empty()) entries_.clear();
   for (const auto& entry : listed.entries) {
     const auto name = entry->getValue<std::string>("name");
     if (entry->getValue<std::string>("status") == "removed") {
--- a/src/sidecar/exchange.cpp
+++ b/src/sidecar/exchange.cpp
@@ -29,9 +29,9 @@
   InFlight& taken = inFlight_[query.id];
   taken.message = message;
   taken.useCase = query.useCase;
-  taken.coming = query.coming;
+  taken.coming = query.bodyStreaming;
   ++open_;
-  const QueryHandle handle = balancer_->take(loop_.now(), query);
+  const QueryHandle handle = balancer_->submit(loop_.now(), query);
   inFlight_.at(query.id).handle = handle;
   settle(query.id);
 }
@@ -49,7 +49,7 @@
     clients_->pauseBody(query, true);
   }
   if (!last) return;
-  coming.handle->bodyWhole(loop_.now());
+  coming.handle->bodyComplete(loop_.now());
   settle(query);
 }
 
@@ -61,7 +61,7 @@
   at->second.streams = execution.no;
   at->second.answered = true;  // it belongs to this execution, for better or worse
   clients_->begin(execution.query, head);
-  at->second.handle->answerStarted(loop_.now(), execution.no);
+  at->second.handle->responseStarted(loop_.now(), execution.no);
   settle({});
   return true;
 }
@@ -112,7 +112,7 @@
   }
   // Guards against a bad query that would go from server to server and count against each: that a server
   // can't use it is told of the query, not of the server, and so is its final answer.
-  if (outcome == Outcome::moot && !query.answered) {
+  if (outcome == Outcome::invalidQuery && !query.answered) {
     ++answered(query).failed;
     clients_->turnAway(execution.query);
   }
@@ -123,7 +123,7 @@
 void Exchange::serversListed(const Listed& listed) {
   ++loop_.counters.lists;
   Line(Level::debug) << "listed servers=" << listed.servers.size()
-                     << (listed.listing == Listing::changes ? " changes" : " whole");
+                     << (listed.listing == ServerListKind::changes ? " changes" : " whole");
   remember(listed);
   servers_->listed(listed);
   balancer_->serversListed(loop_.now(), listed.listing, listed.servers);
@@ -137,27 +137,27 @@
 
 void Exchange::takeOut(ServerId server) {
   servers_->takenOut(server, true);
-  balancer_->takeOut(loop_.now(), server);
+  balancer_->disableServer(loop_.now(), server);
   settle({});
 }
 
 void Exchange::putBack(ServerId server, Span at) {
   servers_->takenOut(server, false);
-  balancer_->putBack(at, server);
+  balancer_->enableServer(at, server);
   settle({});
 }
 
 std::size_t Exchange::avoided() const {
   return static_cast<std::size_t>(std::count_if(list_.begin(), list_.end(), [this](const auto& server) {
-    return server.second == Lifecycle::draining || balancer_->avoids(loop_.now(), server.first);
+    return server.second == Lifecycle::draining || balancer_->isExcluded(loop_.now(), server.first);
   }));
 }
 
 void Exchange::remember(const Listed& listed) {
-  if (listed.listing != Listing::changes) list_.clear();
+  if (listed.listing != ServerListKind::changes) list_.clear();
   for (const ListedServer& server : listed.servers) {
     learn(server.id);
-    if (server.lifecycle == Lifecycle::gone) {
+    if (server.lifecycle == Lifecycle::removed) {
       list_.erase(server.id);
     } else {
       list_[server.id] = server.lifecycle;
@@ -221,7 +221,7 @@
   answered_.push_back(query);
   for (const QueryId over : answered_) {
     const auto at = inFlight_.find(over);
-    if (at != inFlight_.end() && at->second.handle && at->second.handle->over()) inFlight_.erase(at);
+    if (at != inFlight_.end() && at->second.handle && at->second.handle->finished()) inFlight_.erase(at);
   }
   answered_.clear();
 }
--- a/src/sidecar/exchange.hpp
+++ b/src/sidecar/exchange.hpp
@@ -29,13 +29,13 @@
 
 /// A list as discovery told it.
 struct Listed {
-  Listing listing = Listing::persisted;
+  ServerListKind listing = ServerListKind::persisted;
   std::vector<ListedServer> servers;
   std::vector<std::pair<ServerId, Poco::Net::SocketAddress>> addresses;
   std::vector<Poco::JSON::Object::Ptr> entries;  // as they came
 };
 
-class Exchange : public Host {
+class Exchange : public BalancerHost {
  public:
   explicit Exchange(Loop& loop) : loop_(loop) {}
   ~Exchange() override = default;
@@ -62,14 +62,14 @@
   void serversListed(const Listed& listed);
   void discoveryFailed();
   /// How many balancers there may be, as the fleet's members know it.
-  void fleetOf(std::uint32_t balancers) { balancer_->fleetOf(balancers); }
+  void fleetOf(std::uint32_t balancers) { balancer_->setBalancerCount(balancers); }
   /// Maintenance by hand, to be repeated at will; whether a list ever named it tells known().
   void takeOut(ServerId server);
   void putBack(ServerId server, Span at);
   [[nodiscard]] bool known(ServerId server) const { return everListed_.contains(server); }
   void learn(ServerId server);
-  [[nodiscard]] Learned learned() const { return balancer_->learned(loop_.now()); }
-  void learn(const Learned& learned) { balancer_->learn(loop_.now(), learned); }
+  [[nodiscard]] BalancerSnapshot learned() const { return balancer_->snapshot(loop_.now()); }
+  void learn(const BalancerSnapshot& learned) { balancer_->restore(loop_.now(), learned); }
   [[nodiscard]] const std::set<ServerId>& everListed() const { return everListed_; }
   /// Taken and without a final answer; servers in discovery's list; those of them that get nothing now.
   [[nodiscard]] std::size_t open() const { return open_; }
--- a/src/sidecar/loop.hpp
+++ b/src/sidecar/loop.hpp
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 #include "sidecar/counters.hpp"
 
 namespace rackroute::sidecar {
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -215,7 +215,7 @@
   std::uint64_t index = 0;
   Listed known = readList(assignment.known, told.zones, loop, index);
   if (inherited) takeOver(*inherited->state, exchange, told.zones, loop, known, index);
-  known.listing = Listing::persisted;
+  known.listing = ServerListKind::persisted;
   assignment.known.clear();
   Discovery discovery(loop, exchange, told.zones, assignment.discovery, index);
   discovery.keep(known);
@@ -224,8 +224,9 @@
   });
   std::optional<FleetSide> fleet;
   if (assignment.fleet) {
-    fleet.emplace(loop, *assignment.fleet, assignment.seed,
-                  [&](std::uint32_t members) { exchange.fleetOf(std::max(members, told.terms.balancers)); });
+    fleet.emplace(loop, *assignment.fleet, assignment.seed, [&](std::uint32_t members) {
+      exchange.fleetOf(std::max(members, told.terms.balancerCount));
+    });
     admin.show(*fleet);
     change.handOn([&] { return fleet->state(); }, [&](bool yes) { fleet->yield(yes); });
   }
--- a/src/sidecar/server_side.cpp
+++ b/src/sidecar/server_side.cpp
@@ -50,7 +50,7 @@
 
 Outcome outcomeOf(const Message& answer) {
   if (answer.status() == 200) return Outcome::completed;
-  if (refusesQuery(answer.status())) return Outcome::moot;
+  if (refusesQuery(answer.status())) return Outcome::invalidQuery;
   const bool notRun = answer.field("X-Not-Run") == "1";
   if ((answer.status() == 503 || answer.status() == 504) && notRun) return Outcome::full;
   return Outcome::error;
@@ -281,7 +281,7 @@
 // only for as long as it might still get an execution.
 void ServerSide::listed(const Listed& listed) {
   const Span now = loop_.now();
-  const bool whole = listed.listing != Listing::changes;
+  const bool whole = listed.listing != ServerListKind::changes;
   for (auto& [server, place] : places_) {
     if (whole) place.goneAt = std::min(place.goneAt, now);
   }
@@ -292,7 +292,7 @@
   }
   for (const ListedServer& server : listed.servers) {
     const auto place = places_.find(server.id);
-    if (server.lifecycle != Lifecycle::gone || place == places_.end()) continue;
+    if (server.lifecycle != Lifecycle::removed || place == places_.end()) continue;
     place->second.goneAt = now;
     closeIdle(server.id);
   }
--- a/src/simwire/session.cpp
+++ b/src/simwire/session.cpp
@@ -86,13 +86,13 @@
                         {"50", Outcome::connectFailed},
                         {"60", Outcome::reset},
                         {"70", Outcome::cancelled},
-                        {"80", Outcome::moot}});
+                        {"80", Outcome::invalidQuery}});
 }
 
 }  // namespace
 
 /// One balancer and its end of the wire.
-class Instance : public Host {
+class Instance : public BalancerHost {
  public:
   Instance(std::string_view name, std::uint64_t seed, const told::Pairs& pairs, std::int64_t clock,
            std::string& reply)
@@ -162,7 +162,7 @@
     }
     if (!told_.accounts.empty() && parts[6] != "-" && parts[6] != "0")
       query.account = {told_.accounts.known(parts[6], "user_group")};
-    queries_.insert_or_assign(query.id.value, balancer_->take(at, query));
+    queries_.insert_or_assign(query.id.value, balancer_->submit(at, query));
     settle();
   }
   void ended(const std::vector<std::string_view>& parts, Span at) {
@@ -174,7 +174,7 @@
   }
   void begun(const std::vector<std::string_view>& parts, Span at) {
     const ExecutionNo no{number<std::uint32_t>(parts[4], "send_no")};
-    with(parts[2], [&](QueryHandle& query) { query.answerStarted(at, no); });
+    with(parts[2], [&](QueryHandle& query) { query.responseStarted(at, no); });
   }
   void left(const std::vector<std::string_view>& parts, Span at) {
     with(parts[2], [&](QueryHandle& query) { query.clientLeft(at); });
@@ -183,7 +183,7 @@
   void settle() {
     for (const QueryId query : answered_) {
       const auto at = queries_.find(query.value);
-      if (at != queries_.end() && at->second.over()) queries_.erase(at);
+      if (at != queries_.end() && at->second.finished()) queries_.erase(at);
     }
     answered_.clear();
   }
@@ -195,7 +195,7 @@
     const auto at = queries_.find(id);
     if (at != queries_.end()) {
       call(at->second);
-      if (at->second.over()) queries_.erase(at);
+      if (at->second.finished()) queries_.erase(at);
     }
     settle();
   }
@@ -284,9 +284,10 @@
     self.settle();
   } else if (name == "DISCOVERY") {
     if (parts[2] == "Error") return self.balancer().discoveryFailed(now);
-    const Listing listing = word<Listing>(
-        parts[2], "scope",
-        {{"Partial", Listing::changes}, {"Complete", Listing::complete}, {"Persisted", Listing::persisted}});
+    const ServerListKind listing = word<ServerListKind>(parts[2], "scope",
+                                                        {{"Partial", ServerListKind::changes},
+                                                         {"Complete", ServerListKind::complete},
+                                                         {"Persisted", ServerListKind::persisted}});
     const auto slot = number<std::size_t>(parts[4], "slot");
     if (slot >= kLists) malformed("slot", parts[4]);
     std::vector<ListedServer> servers;
@@ -323,7 +324,7 @@
   Entry made;
   made.lifecycle = word<Lifecycle>(
       parts[2], "lifecycle",
-      {{"SERVING", Lifecycle::serving}, {"DRAINING", Lifecycle::draining}, {"DELETED", Lifecycle::gone}});
+      {{"SERVING", Lifecycle::serving}, {"DRAINING", Lifecycle::draining}, {"DELETED", Lifecycle::removed}});
   made.zone = parts[3];
   made.size = parts[4] == "-" ? 1.0 : number<double>(parts[4], "share");
   made.since = parts[5] == "-" ? 0 : micros(parts[5], "since_ms");
--- a/src/terms/told.cpp
+++ b/src/terms/told.cpp
@@ -71,13 +71,13 @@
     const std::string at = "use_cases." + std::to_string(i) + '.';
     useCases.id(reader.text(at + "name"));
     UseCase use;
-    use.repeat = reader.word<Repeat>(at + "effect", {{"retryable", Repeat::idempotent},
-                                                     {"dedup", Repeat::deduplicated},
-                                                     {"fragile", Repeat::nonIdempotent}});
-    use.group = reader.word<DedupGroup>(at + "group", {{"all", DedupGroup::all},
-                                                       {"zone", DedupGroup::zone},
-                                                       {"cell", DedupGroup::cell},
-                                                       {"", DedupGroup::cell}});
+    use.retrySafety = reader.word<RetrySafety>(at + "effect", {{"retryable", RetrySafety::idempotent},
+                                                               {"dedup", RetrySafety::deduplicated},
+                                                               {"fragile", RetrySafety::nonIdempotent}});
+    use.dedupScope = reader.word<DedupScope>(at + "group", {{"all", DedupScope::all},
+                                                            {"zone", DedupScope::zone},
+                                                            {"cell", DedupScope::cell},
+                                                            {"", DedupScope::cell}});
     use.dedupWindow = reader.span(at + "window_ms");
     use.importance = reader.value(at + "importance", 1.0);
     use.lateImportance = reader.value(at + "late_importance", 0.0);
@@ -88,12 +88,12 @@
   for (std::uint32_t i = 0; i < accountCount; ++i) {
     const std::string at = "accounts." + std::to_string(i) + '.';
     accounts.id(reader.text(at + "name"));
-    terms.accounts.push_back(reader.value(at + "portion", 0.0));
+    terms.accountShares.push_back(reader.value(at + "portion", 0.0));
   }
   terms.beyondShareImportance = reader.value("beyond_share_importance", 1.0);
   terms.zone = {zones.id(reader.text("locality"))};
-  terms.balancers = reader.value<std::uint32_t>("peers_total", 1);
-  terms.number = reader.value<std::uint32_t>("my_number", 0);
+  terms.balancerCount = reader.value<std::uint32_t>("peers_total", 1);
+  terms.balancerIndex = reader.value<std::uint32_t>("my_number", 0);
   terms.discoveryOnRequest = reader.text("registry_mode") == "on_request";
   terms.weightsFollowLoad = reader.word<bool>(
       "weights", {{"", false}, {"none", false}, {"nominal", false}, {"rough", false}, {"live", true}});
@@ -101,15 +101,15 @@
   for (const std::string name : {"locality", "peers_total", "my_number"})
     if (terms.weightsFollowLoad && reader.text(name).empty())
       malformed(name + " is needed with weights", "live");
-  if (reader.yes("bounds.retry_after")) terms.longestAdvice = reader.span("bounds.max_retry_after_ms");
-  terms.mostExecutions = reader.value<std::uint32_t>("bounds.max_executions", 1);
-  terms.warmKeys = reader.yes("family_info.warm_keys");
+  if (reader.yes("bounds.retry_after")) terms.maxRetryAfter = reader.span("bounds.max_retry_after_ms");
+  terms.maxExecutions = reader.value<std::uint32_t>("bounds.max_executions", 1);
+  terms.keyAffinity = reader.yes("family_info.warm_keys");
   terms.tick = reader.span("granularity_ms");
   terms.drainGrace = reader.span("rules.drain_grace_ms");
   terms.coldShare = reader.value("rules.cold_share", 1.0);
   terms.coldTime = reader.span("rules.cold_ms");
-  terms.tipMultiple = reader.value("rules.tip_multiple", 1.0);
-  terms.tipWindow = reader.span("rules.overload_for_ms");
+  terms.overloadMultiple = reader.value("rules.tip_multiple", 1.0);
+  terms.overloadWindow = reader.span("rules.overload_for_ms");
   dialTimeout = reader.span("bounds.dial_timeout_ms");
   connectionIdle = reader.span("bounds.conn_idle_ms");
 }
--- a/src/terms/told.hpp
+++ b/src/terms/told.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "rackroute/terms.hpp"
+#include "rackroute/types.hpp"
 
 namespace rackroute::told {
 
@@ -50,7 +50,7 @@
 struct Told {
   Told(std::uint64_t seed, const Pairs& pairs);
 
-  Terms terms;
+  BalancerConfig terms;
   Names zones;
   Names useCases;
   Names accounts;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -6,11 +6,11 @@
 #include <catch2/catch.hpp>
 #include <random>
 
+#include "balancer_fixture.hpp"
 #include "fleet/membership.hpp"
 #include "fleet/wire.hpp"
 #include "lab/fleet/judge.hpp"
 #include "lab/fleet/virtual_fleet.hpp"
-#include "story.hpp"
 
 using namespace rackroute;
 using namespace rackroute::fleet;
@@ -425,31 +425,31 @@
   const auto play = [&](std::uint32_t counted, bool cold) {
     std::size_t sent = 0;
     for (std::uint32_t i = 0; i < kMembers; ++i) {
-      Terms terms = story::terms();
+      BalancerConfig terms = fixture::config();
       terms.seed = i + 1;
-      terms.balancers = 4;
-      terms.number = i;
-      story::Fleet fleet(terms);
-      fleet.balancer.fleetOf(counted);
-      fleet.hold(10);
-      for (int burst = 0; !cold && burst < 40; ++burst) fleet.take(story::kIdempotent);
+      terms.balancerCount = 4;
+      terms.balancerIndex = i;
+      fixture::FakeFleet fleet(terms);
+      fleet.balancer.setBalancerCount(counted);
+      fleet.loadServers(10);
+      for (int burst = 0; !cold && burst < 40; ++burst) fleet.submit(fixture::kIdempotent);
       if (!cold) {
         sent += fleet.sent.size();
         continue;
       }
       for (int queries = 0; queries < 1000; ++queries)
-        fleet.play(story::kIdempotent, Outcome::completed);  // 20 s
-      ListedServer fresh = story::server(11);
+        fleet.runQuery(fixture::kIdempotent, Outcome::completed);  // 20 s
+      ListedServer fresh = fixture::server(11);
       fresh.startedAt = fleet.now;
-      fleet.list(Listing::changes, {fresh});
+      fleet.updateList(ServerListKind::changes, {fresh});
       for (const Span until = fleet.now + 3s; fleet.now < until;)
-        sent += fleet.play(story::kIdempotent, Outcome::completed) == ServerId{11} ? 1 : 0;
+        sent += fleet.runQuery(fixture::kIdempotent, Outcome::completed) == ServerId{11} ? 1 : 0;
     }
     return static_cast<double>(sent);
   };
-  const Terms terms = story::terms();
+  const BalancerConfig terms = fixture::config();
   const double warm = kMembers * 50.0 / 10;  // answers a second of one warm server, from all balancers
-  const double rule = terms.coldShare * terms.tipMultiple * warm * 3;
+  const double rule = terms.coldShare * terms.overloadMultiple * warm * 3;
   const double given = play(kMembers, true);
   CHECK((given > 0 && given <= rule));
   // What all begin at once on servers that nobody knows goes by the count, and must not go by who is heard.
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -3,10 +3,10 @@
 #include <Poco/Net/DatagramSocket.h>
 #include <sys/stat.h>
 
+#include "balancer_fixture.hpp"
 #include "handover/learned.hpp"
 #include "handover/said.hpp"
 #include "program.hpp"
-#include "story.hpp"
 
 using namespace rackroute;
 using namespace rackroute::program;
@@ -290,23 +290,23 @@
 
 TEST_CASE(
     "a successor goes on with what was learned: a cold server gets its part at once, an ejected one none") {
-  story::Fleet before(story::terms());
-  before.hold(4);
-  before.share({1}, 100);
-  before.spoil({4}, Outcome::error, 5);
-  auto cold = story::server(3);
+  fixture::FakeFleet before(fixture::config());
+  before.loadServers(4);
+  before.countSentTo({1}, 100);
+  before.runUntilEnded({4}, Outcome::error, 5);
+  auto cold = fixture::server(3);
   cold.startedAt = before.now;
-  before.list(Listing::changes, {cold});
-  const Learned learned = before.balancer.learned(before.now);
+  before.updateList(ServerListKind::changes, {cold});
+  const BalancerSnapshot learned = before.balancer.snapshot(before.now);
   const auto read = handover::readLearned(handover::text(learned));
   REQUIRE(read);
   const bool told = GENERATE(true, false);
-  story::Fleet after(story::terms());
+  fixture::FakeFleet after(fixture::config());
   cold.startedAt = after.now;
-  after.list(Listing::persisted, {cold, story::server(4)});
-  if (told) after.balancer.learn(after.now, *read);
+  after.updateList(ServerListKind::persisted, {cold, fixture::server(4)});
+  if (told) after.balancer.restore(after.now, *read);
   after.now += 2s;
-  for (int i = 0; i < 4; ++i) after.take(story::kNonIdempotent);
+  for (int i = 0; i < 4; ++i) after.submit(fixture::kNonIdempotent);
   const auto at = [&](std::uint64_t id) {
     return std::any_of(after.sent.begin(), after.sent.end(),
                        [&](const auto& sent) { return sent.server == ServerId{id}; });
@@ -316,7 +316,7 @@
 }
 
 TEST_CASE("what was learned is read whole and plausible, or not at all") {
-  Learned learned;
+  BalancerSnapshot learned;
   learned.servers.resize(2);
   const std::string text = handover::text(learned);
   CHECK(handover::readLearned(text));
@@ -325,6 +325,6 @@
   learned.servers[1].weight = -1;
   CHECK_FALSE(handover::readLearned(handover::text(learned)));
   learned.servers[1].weight = 1;
-  learned.answersPerSecond = 1e12;
+  learned.responsesPerSecond = 1e12;
   CHECK_FALSE(handover::readLearned(handover::text(learned)));
 }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -115,9 +115,9 @@
   ejectsAll
 };
 
-class Rogue : public Contender, public Host {
+class Rogue : public Contender, public BalancerHost {
  public:
-  Rogue(Sin sin, const Terms& terms, Host& host)
+  Rogue(Sin sin, const BalancerConfig& terms, BalancerHost& host)
       : sin_(sin), host_(host), inner_(makeContender(PolicyKind::module, terms, *this, {})) {}
 
   void take(Span now, const Query& query) override {
@@ -139,7 +139,7 @@
     inner_->executionEnded(now, query, no, outcome, terminal, service);
   }
   void clientLeft(Span now, QueryId query) override { inner_->clientLeft(now, query); }
-  void serversListed(Span now, Listing listing, std::span<const ListedServer> servers) override {
+  void serversListed(Span now, ServerListKind listing, std::span<const ListedServer> servers) override {
     thrown_ = servers.empty();
     for (const ListedServer& server : servers) {
       if (server.startedAt) cold_ = server.id;
@@ -156,8 +156,8 @@
       held_.erase(held_.begin());
     }
   }
-  [[nodiscard]] Standing standing(Span now) const override {
-    return sin_ == Sin::ejectsAll && now > 5s ? Standing{6, 4} : inner_->standing(now);
+  [[nodiscard]] PoolStatus standing(Span now) const override {
+    return sin_ == Sin::ejectsAll && now > 5s ? PoolStatus{6, 4} : inner_->standing(now);
   }
 
   void execute(QueryId query, ServerId server, Span timeout) override {
@@ -181,7 +181,7 @@
 
  private:
   Sin sin_;
-  Host& host_;
+  BalancerHost& host_;
   ServerId last_;
   std::optional<ServerId> cold_;
   std::optional<ServerId> drains_;
@@ -193,7 +193,7 @@
 
 Result play(const Scenario& scenario, Sin sin = Sin::none) {
   RunPlan plan;
-  plan.make = [sin](const Terms& terms, Host& host, const TrueWait&) {
+  plan.make = [sin](const BalancerConfig& terms, BalancerHost& host, const TrueWait&) {
     return std::make_unique<Rogue>(sin, terms, host);
   };
   return playVirtual(scenario, plan);
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -2,15 +2,15 @@
 
 #include <set>
 
+#include "balancer_fixture.hpp"
 #include "program.hpp"
-#include "story.hpp"
 
 using namespace rackroute;
 
 namespace {
 
-using story::Fleet;
-using story::server;
+using fixture::FakeFleet;
+using fixture::server;
 
 /// One call at the door; its answer.
 std::string call(const SocketAddress& door, const std::string& line) {
@@ -22,53 +22,53 @@
 }  // namespace
 
 TEST_CASE("a server taken out by hand gets nothing, whatever the lists say, until one call puts it back") {
-  Fleet fleet(story::terms());
-  fleet.hold(3);
-  fleet.share({2}, 60);
-  fleet.balancer.takeOut(fleet.now, {2});
-  fleet.balancer.takeOut(fleet.now, {2});
-  CHECK(fleet.balancer.avoids(fleet.now, {2}));
-  CHECK(fleet.share({2}, 100) == 0);
+  FakeFleet fleet(fixture::config());
+  fleet.loadServers(3);
+  fleet.countSentTo({2}, 60);
+  fleet.balancer.disableServer(fleet.now, {2});
+  fleet.balancer.disableServer(fleet.now, {2});
+  CHECK(fleet.balancer.isExcluded(fleet.now, {2}));
+  CHECK(fleet.countSentTo({2}, 100) == 0);
   auto gone = server(2);
-  gone.lifecycle = Lifecycle::gone;
-  fleet.list(Listing::changes, {gone});
+  gone.lifecycle = Lifecycle::removed;
+  fleet.updateList(ServerListKind::changes, {gone});
   fleet.now += 2s;
   auto anew = server(2);
   anew.startedAt = fleet.now;
-  fleet.list(Listing::changes, {anew});
-  fleet.list(Listing::complete, {server(1), anew, server(3)});
-  CHECK(fleet.share({2}, 100) == 0);
-  fleet.balancer.putBack(fleet.now, {2});
-  CHECK_FALSE(fleet.balancer.avoids(fleet.now, {2}));
-  const int first = fleet.share({2}, 100, story::kIdempotent);  // two seconds
-  CHECK((first > 0 && first < 25));                             // it counts as just started
+  fleet.updateList(ServerListKind::changes, {anew});
+  fleet.updateList(ServerListKind::complete, {server(1), anew, server(3)});
+  CHECK(fleet.countSentTo({2}, 100) == 0);
+  fleet.balancer.enableServer(fleet.now, {2});
+  CHECK_FALSE(fleet.balancer.isExcluded(fleet.now, {2}));
+  const int first = fleet.countSentTo({2}, 100, fixture::kIdempotent);  // two seconds
+  CHECK((first > 0 && first < 25));                                     // it counts as just started
   fleet.now += 20s;
-  CHECK(fleet.share({2}, 100) > 20);
+  CHECK(fleet.countSentTo({2}, 100) > 20);
 }
 
 TEST_CASE(
     "with every server out by hand queries are turned away at once, and served again after one is back") {
-  Fleet fleet(story::terms());
-  fleet.hold(2);
-  fleet.share({1}, 60);  // what warm servers do must be known before a cold one gets anything
-  fleet.balancer.takeOut(fleet.now, {1});
-  fleet.balancer.takeOut(fleet.now, {2});
-  const QueryId query = fleet.take(story::kNonIdempotent);
-  CHECK(fleet.endOf(query) == "rejected");
-  CHECK(fleet.lastAdvice > 0s);
-  fleet.balancer.putBack(fleet.now, {1});
+  FakeFleet fleet(fixture::config());
+  fleet.loadServers(2);
+  fleet.countSentTo({1}, 60);  // what warm servers do must be known before a cold one gets anything
+  fleet.balancer.disableServer(fleet.now, {1});
+  fleet.balancer.disableServer(fleet.now, {2});
+  const QueryId query = fleet.submit(fixture::kNonIdempotent);
+  CHECK(fleet.finalResult(query) == "rejected");
+  CHECK(fleet.lastRetryAfter > 0s);
+  fleet.balancer.enableServer(fleet.now, {1});
   fleet.now += 5s;
-  CHECK(fleet.share({1}, 1) == 1);
+  CHECK(fleet.countSentTo({1}, 1) == 1);
 }
 
 TEST_CASE("servers out by hand do not use up the share that may be ejected") {
-  Fleet fleet(story::terms());
-  fleet.hold(6);
-  fleet.balancer.takeOut(fleet.now, {5});
-  fleet.balancer.takeOut(fleet.now, {6});
-  fleet.spoil({1}, Outcome::error, 5);
-  fleet.spoil({2}, Outcome::error, 5);
-  CHECK(fleet.share({1}, 60) + fleet.share({2}, 60) == 0);
+  FakeFleet fleet(fixture::config());
+  fleet.loadServers(6);
+  fleet.balancer.disableServer(fleet.now, {5});
+  fleet.balancer.disableServer(fleet.now, {6});
+  fleet.runUntilEnded({1}, Outcome::error, 5);
+  fleet.runUntilEnded({2}, Outcome::error, 5);
+  CHECK(fleet.countSentTo({1}, 60) + fleet.countSentTo({2}, 60) == 0);
 }
 
 TEST_CASE("the door tells readiness and true figures, and takes a server out and back") {
@@ -135,28 +135,28 @@
 }
 
 TEST_CASE("a fleet that starts together asks discovery one after the other; alone, or taking over, at once") {
-  Terms many = story::terms();
+  BalancerConfig many = fixture::config();
   many.discoveryOnRequest = true;
-  many.balancers = 48;
+  many.balancerCount = 48;
   std::set<Span> moments;
   for (many.seed = 1; many.seed <= 20; ++many.seed) {
-    Fleet fleet(many);
-    CHECK(fleet.watches == 0);
-    REQUIRE(fleet.wakes.size() == 1);
-    CHECK(fleet.wakes.front() <= 5s);
-    moments.insert(fleet.wakes.front());
-    fleet.now = fleet.wakes.front();
+    FakeFleet fleet(many);
+    CHECK(fleet.watchCalls == 0);
+    REQUIRE(fleet.wakeTimes.size() == 1);
+    CHECK(fleet.wakeTimes.front() <= 5s);
+    moments.insert(fleet.wakeTimes.front());
+    fleet.now = fleet.wakeTimes.front();
     fleet.balancer.wake(fleet.now);
-    CHECK(fleet.watches == 1);
+    CHECK(fleet.watchCalls == 1);
     fleet.balancer.discoveryFailed(fleet.now);  // and its repeats don't fall together either
-    CHECK(fleet.wakes.back() - fleet.now < 10s);
-    moments.insert(fleet.wakes.back() - fleet.now);
+    CHECK(fleet.wakeTimes.back() - fleet.now < 10s);
+    moments.insert(fleet.wakeTimes.back() - fleet.now);
   }
   CHECK(moments.size() > 36);
-  Fleet successor(many);
-  successor.hold(3);
-  successor.balancer.learn(successor.now, {});
-  CHECK(successor.wakes.back() <= successor.now + many.tick);
-  many.balancers = 1;
-  CHECK(Fleet(many).watches == 1);
+  FakeFleet successor(many);
+  successor.loadServers(3);
+  successor.balancer.restore(successor.now, {});
+  CHECK(successor.wakeTimes.back() <= successor.now + many.tick);
+  many.balancerCount = 1;
+  CHECK(FakeFleet(many).watchCalls == 1);
 }
