--- a/src/decide/balancer.cpp
+++ b/src/decide/balancer.cpp
@@ -66,8 +66,8 @@
 constexpr double kInitialLatency = 0.15;  // seconds, until the first response
 
 double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
-Span scaled(Span span, double by) {
-  return Span{static_cast<Span::rep>(static_cast<double>(span.count()) * by)};
+Span scaled(Span span, double factor) {
+  return Span{static_cast<Span::rep>(static_cast<double>(span.count()) * factor)};
 }
 
 double hashToUnit(std::uint64_t key, std::uint64_t server) {  // in (0, 1), by the splitmix64 finalizer
@@ -453,26 +453,26 @@
     const bool atLimit = timeToCapacity(now) > Span{0} || load(now, server) + 1 > server.limit;
     server.inFlight.erase(at);
     if (server.startedAt && execution.sentAt < *server.startedAt) return;  // the server restarted since
-    const Span took = pending.responseStartedAt.value_or(now) - execution.sentAt;
+    const Span elapsed = pending.responseStartedAt.value_or(now) - execution.sentAt;
     const QueryState& query = queries_[slot];
     const std::size_t use = query.request.useCase.value;
     const Span slo = useCase(query).sloTime;
     if (outcome == Outcome::completed) {
       server.lastCompletedSentAt = std::max(server.lastCompletedSentAt, execution.sentAt);
-      server.unitLatency.add(now, seconds(took) / (pending.others + 1));
-      unitLatency_.add(now, seconds(took) / (pending.others + 1));
-      latency_.add(now, seconds(took));
+      server.unitLatency.add(now, seconds(elapsed) / (pending.others + 1));
+      unitLatency_.add(now, seconds(elapsed) / (pending.others + 1));
+      latency_.add(now, seconds(elapsed));
       if (query.request.account) accountResponses_[query.request.account->value].add(now, 1);
       const bool own = server.zone == config_.zone;
       RecentStats& latency = zoneLatency_[own];
-      latency.add(now, seconds(took));
+      latency.add(now, seconds(elapsed));
       if (latency.count(now) >= kMinSamples) unloaded_[own] = std::min(unloaded_[own], latency.mean(now, 0));
       if (!query.answered) completed_[use].add(now, 1);
       if (slowStartFactor(now, server) >= 1) ++warmResponses_[server.inSubset];
-      if (atLimit && took <= scaled(slo, kFastResponse)) adjustLimits(now, server, 1 + kLimitStep);
-      if (took > scaled(slo, kSlowResponse)) adjustLimits(now, server, kLimitCut);
+      if (atLimit && elapsed <= scaled(slo, kFastResponse)) adjustLimits(now, server, 1 + kLimitStep);
+      if (elapsed > scaled(slo, kSlowResponse)) adjustLimits(now, server, kLimitCut);
       // Responses after the SLO time do not restore weight, so that slow servers get fewer queries.
-      if (took <= slo) server.weight = std::min(1.0, server.weight + kWeightStep);
+      if (elapsed <= slo) server.weight = std::min(1.0, server.weight + kWeightStep);
       server.consecutiveFailures = server.useCases[use].consecutive = 0;
       zoneFailures(server.zone).consecutive = 0;
       server.ejected = server.onTrial = false;
@@ -496,8 +496,8 @@
 
   // A response adjusts its server's limit; one from outside the subset adjusts all members' limits a little.
   // Limits stay above the concurrency that recent throughput needs (Little's law).
-  void adjustLimits(Span now, Server& responder, double by) {
-    if (by > 1 && meanListedLoad_ > kMaxListedLoad) return;
+  void adjustLimits(Span now, Server& responder, double factor) {
+    if (factor > 1 && meanListedLoad_ > kMaxListedLoad) return;
     double sizes = 0;
     double members = 0;
     for (const Server& server : servers_) {
@@ -510,11 +510,11 @@
         (config_.weightsFollowLoad ? kMinListedConcurrency : kMinConcurrency) * work / statsTime(now);
     for (Server& server : servers_) {
       if (&server != &responder && (responder.inSubset || !inPool(now, server))) continue;
-      const double step = &server == &responder ? by : std::pow(by, 1 / members);
-      const double grown = server.limit + (step - 1) * std::min(server.limit, 1 / server.limit);
-      const double least =
+      const double step = &server == &responder ? factor : std::pow(factor, 1 / members);
+      const double increased = server.limit + (step - 1) * std::min(server.limit, 1 / server.limit);
+      const double minimum =
           std::max(kMinLimit / config_.balancerCount, needed * server.size / std::max(sizes, server.size));
-      server.limit = step > 1 ? grown : std::max(least, server.limit * step);
+      server.limit = step > 1 ? increased : std::max(minimum, server.limit * step);
     }
   }
 
@@ -596,9 +596,9 @@
   // A token bucket that keeps a cold server below the load that overloads it, even if it is the only one
   // left. The rate derives from this balancer's warm responses, so that all balancers together stay below it.
   [[nodiscard]] bool hasColdCredit(Span now, Server& server) {
-    const double part = slowStartFactor(now, server);
-    if (part >= 1) return true;
-    const double rate = part * config_.overloadMultiple * kColdSafetyFactor * server.size *
+    const double factor = slowStartFactor(now, server);
+    if (factor >= 1) return true;
+    const double rate = factor * config_.overloadMultiple * kColdSafetyFactor * server.size *
                         warmResponses_[server.inSubset] / std::max(warmServerSeconds_[server.inSubset], 1.0);
     const double most = std::max(1.0, rate * seconds(config_.overloadWindow));
     server.coldCredit = std::min(most, server.coldCredit + rate * seconds(now - server.coldCreditAt));
@@ -631,9 +631,9 @@
         }));
   }
 
-  [[nodiscard]] double expectedLatency(Span now, const Server& server, double usual) const {
+  [[nodiscard]] double expectedLatency(Span now, const Server& server, double mean) const {
     // Without own samples the mean over all servers applies, so that an idle server is not starved.
-    double estimate = server.unitLatency.mean(now, unitLatency_.mean(now, usual)) * (load(now, server) + 1);
+    double estimate = server.unitLatency.mean(now, unitLatency_.mean(now, mean)) * (load(now, server) + 1);
     // The latency is at least the age of the oldest unanswered execution.
     for (const InFlight& pending : server.inFlight) {
       if (!isIdle(pending) && !isStalled(now, server, pending))
@@ -653,8 +653,8 @@
     return std::clamp(reported_.mean(now, server.serviceTime) / server.serviceTime, 1 / kMaxSpeed, kMaxSpeed);
   }
 
-  [[nodiscard]] static bool isFailing(Span now, std::uint32_t run, Span failedAt, std::uint32_t most) {
-    return run >= most && now < failedAt + kEjectTime;
+  [[nodiscard]] static bool isFailing(Span now, std::uint32_t count, Span lastAt, std::uint32_t limit) {
+    return count >= limit && now < lastAt + kEjectTime;
   }
 
   ZoneFailures& zoneFailures(ZoneId zone) {
@@ -670,15 +670,15 @@
     if (timeToCapacity(now) > Span{0}) return std::nullopt;
     measureWarmTime(now);
     // Listed load is a better guide than key affinity.
-    const bool homes = config_.keyAffinity && query.request.key && !config_.weightsFollowLoad;
-    const bool repeat = firstExecuted(query) != nullptr;
-    const double usual = latency_.mean(now, kInitialLatency);
+    const bool affinity = config_.keyAffinity && query.request.key && !config_.weightsFollowLoad;
+    const bool retry = firstExecuted(query) != nullptr;
+    const double mean = latency_.mean(now, kInitialLatency);
     expected_.assign(servers_.size(), 0.0);
     double inverse = 0;
     double pool = 0;
     for (ServerSlot slot = 0; slot < servers_.size(); ++slot) {
       Server& server = servers_[slot];
-      if (!available(now, server) || !(server.inSubset || homes || repeat) ||
+      if (!available(now, server) || !(server.inSubset || affinity || retry) ||
           !retryAllowed(now, query, server))
         continue;
       if (server.ejected) {
@@ -686,15 +686,15 @@
         continue;
       }
       if (now < server.useCases[query.request.useCase.value].excludedUntil) continue;
-      expected_[slot] = std::max(expectedLatency(now, server, usual), 1e-6);
+      expected_[slot] = std::max(expectedLatency(now, server, mean), 1e-6);
       if (!server.inSubset) continue;
       inverse += 1 / expected_[slot];
       ++pool;
     }
-    const double bound = kSlowFactor * (pool > 0 ? pool / inverse : usual);  // harmonic mean
+    const double bound = kSlowFactor * (pool > 0 ? pool / inverse : mean);  // harmonic mean
     // Key affinity is suspended while the own zone is slower than the others.
     const bool fast = zoneLatency_[1].mean(now, 0) <= kSlowFactor * zoneLatency_[0].mean(now, unloaded_[0]);
-    const bool useHomes = homes && fast && !zoneDown(now, config_.zone);
+    const bool useHomes = affinity && fast && !zoneDown(now, config_.zone);
     std::array<std::pair<double, ServerSlot>, kHomesPerKey> nearest;  // distance and server
     nearest.fill({std::numeric_limits<double>::infinity(), 0});
     std::optional<ServerSlot> best;
@@ -703,22 +703,22 @@
     for (ServerSlot slot = 0; slot < servers_.size(); ++slot) {
       Server& server = servers_[slot];
       if (expected_[slot] <= 0 || wasTried(query, slot)) continue;
-      const double share = server.weight * server.size * slowStartFactor(now, server) *
-                           relativeSpeed(now, server) * std::pow(1 + server.listedLoad, -kListedLoadExponent);
+      const double odds = server.weight * server.size * slowStartFactor(now, server) *
+                          relativeSpeed(now, server) * std::pow(1 + server.listedLoad, -kListedLoadExponent);
       if (useHomes && server.zone == config_.zone &&
           !isFailing(now, server.consecutiveFailures, server.lastFailureAt, 1)) {
         // Rendezvous hashing on listed data only, so that all balancers choose the same homes for a key.
-        const double part = server.size * slowStartFactor(now, server);
-        const double distance = -std::log(hashToUnit(query.request.key->value, server.id.value)) / part;
+        const double capacity = server.size * slowStartFactor(now, server);
+        const double distance = -std::log(hashToUnit(query.request.key->value, server.id.value)) / capacity;
         if (distance < nearest.back().first) {
           nearest.back() = {distance, slot};
           std::sort(nearest.begin(), nearest.end());
         }
       }
-      if (!(server.inSubset || repeat) || !hasCapacity(now, server)) continue;
+      if (!(server.inSubset || retry) || !hasCapacity(now, server)) continue;
       if (!best || expected_[slot] < expected_[*best]) best = slot;
       if (expected_[slot] > bound) continue;
-      pickWeights_[slot] = server.zone == config_.zone ? kOwnZonePreference * share : share;
+      pickWeights_[slot] = server.zone == config_.zone ? kOwnZonePreference * odds : odds;
       sum += pickWeights_[slot];
     }
     // Homes come first: a weight factor would be too weak among many servers.
@@ -846,8 +846,8 @@
   [[nodiscard]] double queuePriority(Span now, const QueryState& query) const {
     const double served =
         std::max(kMinCompletedShare, completed_[query.request.useCase.value].mean(now, 1.0));
-    const double part = exceedsAccountShare(now, query) ? config_.beyondShareImportance : 1.0;
-    return part * useCase(query).importance / served;
+    const double factor = exceedsAccountShare(now, query) ? config_.beyondShareImportance : 1.0;
+    return factor * useCase(query).importance / served;
   }
 
   [[nodiscard]] bool exceedsAccountShare(Span now, const QueryState& query) const {
@@ -859,8 +859,8 @@
 
   // The latest time at which an execution is still expected to complete within the SLO time.
   [[nodiscard]] Span latestDispatch(Span now, const QueryState& query) const {
-    const Span usual = scaled(1s, kLatencyMargin * latency_.mean(now, kInitialLatency));
-    return std::min(query.deadline, query.arrivedAt + useCase(query).sloTime) - usual;
+    const Span reserve = scaled(1s, kLatencyMargin * latency_.mean(now, kInitialLatency));
+    return std::min(query.deadline, query.arrivedAt + useCase(query).sloTime) - reserve;
   }
 
   void dequeue(QuerySlot slot) {
@@ -936,9 +936,9 @@
   std::vector<ServerSlot> order_;    // scratch of fillSubset()
   std::vector<double> expected_;     // scratch of pickServer(), by server slot
   std::vector<double> pickWeights_;  // scratch of pickServer(), by server slot
-  RecentStats latency_;
-  RecentStats unitLatency_;  // of all servers
-  RecentStats reported_;     // seconds, as reported by servers
+  RecentStats latency_;              // seconds, of completed executions
+  RecentStats unitLatency_;          // of all servers
+  RecentStats reported_;             // seconds, as reported by servers
   std::vector<RecentStats> accountResponses_;
   std::vector<RecentStats> completed_;         // by use case: 1 per completed query, 0 per given up
   std::array<double, 2> warmResponses_{};      // of servers outside the subset, and of members
--- a/tests/balancer_fixture.hpp
+++ b/tests/balancer_fixture.hpp
@@ -107,18 +107,18 @@
       submit(kNonIdempotent);
       const Sent execution = last();
       now += 20ms;
-      const bool here = execution.server == server;
-      end(execution, here ? outcome : Outcome::completed);
+      const bool matches = execution.server == server;
+      end(execution, matches ? outcome : Outcome::completed);
       if (last().no != execution.no) end(last(), Outcome::completed);
-      if (here) --times;
+      if (matches) --times;
     }
     REQUIRE(times == 0);
   }
   /// Runs queries that complete, and counts those sent to this server.
   int countSentTo(ServerId server, int queries, UseCaseId useCase = kNonIdempotent) {
-    int here = 0;
-    for (int i = 0; i < queries; ++i) here += runQuery(useCase, Outcome::completed) == server ? 1 : 0;
-    return here;
+    int count = 0;
+    for (int i = 0; i < queries; ++i) count += runQuery(useCase, Outcome::completed) == server ? 1 : 0;
+    return count;
   }
   [[nodiscard]] std::string finalResult(QueryId query) const {
     const auto at = finalResults.find(query);
--- a/tests/listed_load_test.cpp
+++ b/tests/listed_load_test.cpp
@@ -95,10 +95,10 @@
   fleet.updateList(ServerListKind::persisted, {withWeight(1, 1), withWeight(2, 1), withWeight(3, 1)});
   for (int i = 0; i < 2000 && fleet.balancer.poolStatus(fleet.now).ejected == 0; ++i) {
     fleet.submit(kNonIdempotent);
-    const bool silent = fleet.last().server.value == 1;
-    fleet.now += silent ? 2s : 20ms;
+    const bool hangs = fleet.last().server.value == 1;
+    fleet.now += hangs ? 2s : 20ms;
     fleet.balancer.wake(fleet.now);
-    fleet.end(fleet.last(), silent ? Outcome::timeout : Outcome::completed);
+    fleet.end(fleet.last(), hangs ? Outcome::timeout : Outcome::completed);
   }
   CHECK(fleet.balancer.poolStatus(fleet.now).ejected == 1);
 }
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -20,11 +20,11 @@
 
 TEST_CASE(
     "an empty list or one that drops over half is confirmed before it is applied, within the drain grace") {
-  const auto left = GENERATE(std::uint64_t{0}, std::uint64_t{1});
+  const auto remaining = GENERATE(std::uint64_t{0}, std::uint64_t{1});
   FakeFleet fleet(config());
   fleet.loadServers(4);
   std::vector<ListedServer> implausible;
-  for (std::uint64_t id = 1; id <= left; ++id) implausible.push_back(server(id));
+  for (std::uint64_t id = 1; id <= remaining; ++id) implausible.push_back(server(id));
   fleet.updateList(ServerListKind::complete, implausible);
   fleet.now += 10ms;
   fleet.balancer.wake(fleet.now);
@@ -39,7 +39,7 @@
     fleet.now += 1s;
     const std::size_t before = fleet.sent.size();
     for (int i = 0; i < 20; ++i) fleet.submit(kIdempotent);
-    for (std::size_t i = before; i < fleet.sent.size(); ++i) CHECK(fleet.sent[i].server.value <= left);
+    for (std::size_t i = before; i < fleet.sent.size(); ++i) CHECK(fleet.sent[i].server.value <= remaining);
   }
 }
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -72,15 +72,15 @@
   FakeFleet fleet(oneOfMany(1000, 3));
   fleet.updateList(ServerListKind::persisted, serversInZones(1, 60));
   const std::set<std::uint64_t> before = serversUsed(fleet, 40);
-  const std::uint64_t bad = *before.begin();
-  fleet.runUntilEnded({bad}, Outcome::timeout, 5);
+  const std::uint64_t failing = *before.begin();
+  fleet.runUntilEnded({failing}, Outcome::timeout, 5);
   std::set<std::uint64_t> after;
   for (int i = 0; i < 200; ++i) after.insert(fleet.runQuery(kIdempotent, Outcome::completed).value);
-  CHECK(after.count(bad) == 0);
+  CHECK(after.count(failing) == 0);
   CHECK(after.size() >= 3);
   for (const std::uint64_t id : before) {
     CAPTURE(id);
-    if (id != bad) CHECK(after.count(id) == 1);
+    if (id != failing) CHECK(after.count(id) == 1);
   }
 }
 
@@ -235,11 +235,11 @@
   /// Runs one query for each key, and counts those first sent to the zone.
   int countSentToZone(std::uint64_t zone, std::uint64_t keys,
                       const std::function<Outcome(ServerId)>& outcomeAt) {
-    int here = 0;
+    int count = 0;
     for (std::uint64_t key = 1; key <= keys; ++key) {
       submitKey(*this, key);
       now += 20ms;
-      if (last().server.value % 3 == zone) ++here;
+      if (last().server.value % 3 == zone) ++count;
       for (int no = 0; no < 3 && finalResult(last().query) == "open"; ++no) {
         const Sent execution = last();
         const Outcome outcome = outcomeAt(execution.server);
@@ -247,7 +247,7 @@
         if (outcome == Outcome::completed) break;
       }
     }
-    return here;
+    return count;
   }
 };
 
@@ -273,10 +273,10 @@
 TEST_CASE("a home that failed once gets no keys until it responds or the eject time ends") {
   AffinityFleet fleet;
   std::vector<std::uint64_t> keys;
-  const ServerId bad{3};
+  const ServerId failing{3};
   for (std::uint64_t key = 1; key <= 120; ++key) {
     submitKey(fleet, key);
-    if (fleet.last().server == bad) keys.push_back(key);
+    if (fleet.last().server == failing) keys.push_back(key);
     fleet.end(fleet.last(), Outcome::completed);
     fleet.now += 20ms;
   }
@@ -285,7 +285,7 @@
   const auto runAll = [&](Outcome outcome) {
     for (const std::uint64_t key : keys) {
       submitKey(fleet, key);
-      const bool here = fleet.last().server == bad;
+      const bool here = fleet.last().server == failing;
       hits += here ? 1 : 0;
       fleet.end(fleet.last(), here ? outcome : Outcome::completed);
       fleet.end(fleet.last(), Outcome::completed);
