--- a/src/lab/mesh/agreement_histories.cpp
+++ b/src/lab/mesh/agreement_histories.cpp
@@ -43,7 +43,7 @@
 std::string textOf(const std::vector<DecidedRegister>& decided) {
   std::string text;
   for (const DecidedRegister& reg : decided)
-    text += " " + reg.id.item.name + ":" + std::to_string(reg.print % 1000);
+    text += " " + reg.id.item.name + ":" + std::to_string(reg.hash % 1000);
   return text;
 }
 
@@ -131,7 +131,7 @@
   node.startedOn = std::make_shared<const Node::Start>(Node::Start{node.disk, node.epoch, node.holdsState});
   running.now = {};
   running.items = {};
-  running.agreement = std::make_unique<Agreement>(Agreement::Built{
+  running.agreement = std::make_unique<Agreement>(Agreement::Config{
       node.self, node.self.incarnation.value, &running.items, [](const VoterSet&, bool) { return true; }});
   for (const auto& [key, value] : node.disk) {
     if (key.starts_with(kItemPrefix)) {
@@ -141,8 +141,8 @@
     }
   }
   Effects effects;
-  running.agreement->voters(set(node.epoch), running.now, effects);
-  running.agreement->mayVote(node.holdsState || search_.flaw == Flaw::votesBeforeReading);
+  running.agreement->setVoters(set(node.epoch), running.now, effects);
+  running.agreement->setMayVote(node.holdsState || search_.flaw == Flaw::votesBeforeReading);
   take(running, effects, {});
 }
 
@@ -196,13 +196,13 @@
     case InputKind::adopts:
       node.epoch = input.number;
       if (set(node.epoch).mustRead(node.self)) node.holdsState = false;
-      running.agreement->voters(set(node.epoch), running.now, effects);
-      running.agreement->mayVote(node.holdsState || search_.flaw == Flaw::votesBeforeReading);
+      running.agreement->setVoters(set(node.epoch), running.now, effects);
+      running.agreement->setMayVote(node.holdsState || search_.flaw == Flaw::votesBeforeReading);
       break;
     case InputKind::reads: {
       const Node other = nodes_[input.number];
       const auto read = this->running(other);
-      running.agreement->learn(running.now, read->agreement->accepted(), read->agreement->decidedRegisters(),
+      running.agreement->importState(running.now, read->agreement->accepted(), read->agreement->decidedRegisters(),
                                effects);
       node.readFrom.insert(other.process);
       break;
@@ -224,7 +224,7 @@
     hearOwn(running);
     node.holdsState = true;
     node.readFrom.clear();
-    running.agreement->mayVote(true);
+    running.agreement->setMayVote(true);
   }
   node.nextTimer = running.agreement->nextTick();
   noteForce(running);
@@ -235,9 +235,9 @@
   std::vector<Item> merged;
   Agreement& agreement = *running.agreement;
   if (const auto* it = std::get_if<Prepare>(&message))
-    agreement.heard(running.now, addressOf(from), *it, effects);
+    agreement.handle(running.now, addressOf(from), *it, effects);
   if (const auto* it = std::get_if<Accept>(&message)) {
-    agreement.heard(running.now, addressOf(from), *it, effects);
+    agreement.handle(running.now, addressOf(from), *it, effects);
     if (search_.flaw == Flaw::acceptsWhatever && !tellsAccepted(effects)) {
       AcceptReply reply;
       reply.ballot = it->ballot;
@@ -247,14 +247,14 @@
       effects.messages = {{addressOf(from), reply}};
     }
   }
-  if (const auto* it = std::get_if<PrepareReply>(&message)) agreement.heard(running.now, *it, effects);
-  if (const auto* it = std::get_if<AcceptReply>(&message)) agreement.heard(running.now, *it, effects);
+  if (const auto* it = std::get_if<PrepareReply>(&message)) agreement.handle(running.now, *it, effects);
+  if (const auto* it = std::get_if<AcceptReply>(&message)) agreement.handle(running.now, *it, effects);
   if (const auto* it = std::get_if<Decided>(&message)) {
     for (const Item& item : it->order->items) {
       if (running.items.merge(item)) merged.push_back(item);
       if (search_.flaw == Flaw::inForceInParts) break;
     }
-    agreement.decided(running.now, it->order->items, effects);
+    agreement.recordDecided(running.now, it->order->items, effects);
   }
   take(running, effects, std::move(merged));
 }
@@ -336,7 +336,7 @@
 /// Copies of what others accepted, which a reader makes, are no acceptances: it reads before it votes.
 void AgreementHistories::noteAccepted(Node& node, const std::string& text) const {
   if (!node.holdsState && search_.flaw != Flaw::votesBeforeReading) return;
-  const AcceptedOrder accepted = agreement_store::readOrder(text);
+  const AcceptedOrder accepted = agreement_store::parseOrder(text);
   node.accepted.insert({accepted.ballot, node.self, ordersOf(*accepted.order)});
 }
 
@@ -378,7 +378,7 @@
   for (const AcceptedOnDisk& one : node.accepted)
     print << textOf(one.ballot) << one.voter.incarnation.value << '.' << one.orders << ' ';
   // A process that proposes has more in memory than is told of it: there equal histories alone are equal.
-  const bool proposes = node.hasProposed || running.agreement->proposalsUnderWay() > 0;
+  const bool proposes = node.hasProposed || running.agreement->proposalsInFlight() > 0;
   node.hasProposed = proposes;
   if (proposes) print << "|after " << parent << ' ' << textOf(input);
   if (node.nextTimer) print << "|timer " << node.nextTimer->count();
--- a/src/mesh/control/agreement.cpp
+++ b/src/mesh/control/agreement.cpp
@@ -11,10 +11,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kSilenceAllowed = 400ms;  // of the proposer of an accepted order; more than a ballot lasts
-constexpr Span kSilenceAllowedPerRank = 100ms;  // so that voters don't all complete it at once
+constexpr Span kStallTimeout = 400ms;         // no proposal seen for an accepted order
+constexpr Span kStallTimeoutPerRank = 100ms;  // so that the voters do not all act at once
 
-/// A reply tells of durable state: it waits for the entries that came with it.
+/// A reply reports durable state, so it is sent only after the entries it depends on are written.
 void reply(const Address& to, Message message, Effects& effects) {
   auto& messages = effects.entries.empty() ? effects.messages : effects.afterWrite;
   messages.push_back({to, std::move(message)});
@@ -39,42 +39,43 @@
   return item;
 }
 
-Agreement::Agreement(Built built)
-    : built_(std::move(built)),
+Agreement::Agreement(Config config)
+    : config_(std::move(config)),
       acceptor_(history_),
-      proposer_({built_.self, built_.seed, &set_, &history_, built_.inForce, built_.isGone}) {}
+      proposer_(
+          {config_.self, config_.seed, &set_, &history_, config_.currentItems, config_.isPermanentlyLost}) {}
 
 // --- state
 
 bool Agreement::restore(const std::string& key, const std::string& value) {
-  restored_ = true;
+  restorePending_ = true;
   return history_.restore(key, value) || proposer_.restore(key, value) || acceptor_.restore(key, value);
 }
 
-void Agreement::voters(const VoterSet& set, Span now, Effects& effects) {
+void Agreement::setVoters(const VoterSet& set, Span now, Effects& effects) {
   if (set.epoch < set_.epoch) return;
-  const bool anotherEpoch = set_.epoch < set.epoch;
+  const bool newEpoch = set_.epoch < set.epoch;
   set_ = set;
-  if (!anotherEpoch) return;
-  history_.votersDecidedTo(set.epoch);
+  if (!newEpoch) return;
+  history_.setVotersDecidedUpTo(set.epoch);
   std::vector<DecidedRegister> decided = registersOf({itemOf(set)});
-  // Earlier sets that were never heard of here: decided too, though not known how.
-  for (const auto& [id, held] : acceptor_.held()) {
-    for (const Item& item : held.accepted.order->items) {
-      if (history_.stateOf(item) == RegisterState::forgotten) decided.push_back({registerOf(item), 0});
+  // Earlier sets that this process never received are decided too, with unknown values.
+  for (const auto& [id, entry] : acceptor_.acceptedOrders()) {
+    for (const Item& item : entry.accepted.order->items) {
+      if (history_.stateOf(item) == RegisterState::expired) decided.push_back({registerOf(item), 0});
     }
   }
-  learnDecided(now, decided, {}, effects);
+  applyDecided(now, decided, {}, effects);
   proposer_.restart(now, effects);
 }
 
-void Agreement::identify(const VoterId& self) {
-  built_.self = self;
+void Agreement::setSelf(const VoterId& self) {
+  config_.self = self;
   proposer_.reset(self);
 }
 
 void Agreement::reset(const VoterId& self, Effects& effects) {
-  built_.self = self;
+  config_.self = self;
   mayVote_ = false;
   acceptor_.reset(effects);
   proposer_.reset(self);
@@ -83,29 +84,29 @@
 // --- as voter
 
 bool Agreement::mayVoteOn(const Ballot& ballot, Epoch epoch) const {
-  return mayVote_ && epoch == set_.epoch && epochOf(ballot) == epoch && set_.contains(built_.self);
+  return mayVote_ && epoch == set_.epoch && epochOf(ballot) == epoch && set_.contains(config_.self);
 }
 
-void Agreement::heard(Span now, const Address& from, const Prepare& message, Effects& effects) {
+void Agreement::handle(Span now, const Address& from, const Prepare& message, Effects& effects) {
   if (!mayVoteOn(message.ballot, message.epoch)) return;
-  auto verdict = acceptor_.promise(now, message.ballot, message.registers, effects);
-  if (!verdict) return;
-  PrepareReply answer{message.ballot,    set_.epoch, built_.self, verdict->granted,
-                      verdict->promised, {},         {},          {}};
-  if (verdict->granted) answer.accepted = acceptor_.holdingOrOvertaking(message.registers);
-  answer.standing = standingAt(verdict->decided);
-  answer.decided = std::move(verdict->decided);
+  auto response = acceptor_.promise(now, message.ballot, message.registers, effects);
+  if (!response) return;
+  PrepareReply answer{message.ballot,     set_.epoch, config_.self, response->granted,
+                      response->promised, {},         {},           {}};
+  if (response->granted) answer.accepted = acceptor_.acceptedForOrLater(message.registers);
+  answer.currentItems = currentItemsOf(response->decided);
+  answer.decided = std::move(response->decided);
   reply(from, std::move(answer), effects);
 }
 
-void Agreement::heard(Span now, const Address& from, const Accept& message, Effects& effects) {
+void Agreement::handle(Span now, const Address& from, const Accept& message, Effects& effects) {
   if (message.order == nullptr || !mayVoteOn(message.ballot, message.epoch)) return;
   if (!acceptable(message)) return;
-  auto verdict = acceptor_.accept(now, message.ballot, message.order, effects);
-  if (!verdict) return;
-  AcceptReply answer{message.ballot, set_.epoch, built_.self, verdict->granted, verdict->promised, {}, {}};
-  answer.standing = standingAt(verdict->decided);
-  answer.decided = std::move(verdict->decided);
+  auto response = acceptor_.accept(now, message.ballot, message.order, effects);
+  if (!response) return;
+  AcceptReply answer{message.ballot, set_.epoch, config_.self, response->granted, response->promised, {}, {}};
+  answer.currentItems = currentItemsOf(response->decided);
+  answer.decided = std::move(response->decided);
   reply(from, std::move(answer), effects);
 }
 
@@ -113,53 +114,53 @@
   for (const Item& item : message.order->items) {
     if (item.key.kind != ItemKind::voters) continue;
     try {
-      if (!built_.acceptable) return false;
-      if (!built_.acceptable(voterSetFrom(item.value), message.mayBeDecided)) return false;
+      if (!config_.acceptable) return false;
+      if (!config_.acceptable(voterSetFrom(item.value), message.mayBeDecided)) return false;
     } catch (const nlohmann::json::exception&) {
-      return false;  // guards against a peer that sends what no process of the mesh does
+      return false;  // not a valid voter set
     }
   }
   return true;
 }
 
-std::vector<Item> Agreement::standingAt(const std::vector<DecidedRegister>& decided) const {
+std::vector<Item> Agreement::currentItemsOf(const std::vector<DecidedRegister>& decided) const {
   std::set<ItemKey> names;
   for (const DecidedRegister& reg : decided) names.insert(reg.id.item);
-  std::vector<Item> standing;
+  std::vector<Item> currentItems;
   for (const ItemKey& name : names) {
-    if (const Item* item = built_.inForce->find(name)) standing.push_back(*item);
+    if (const Item* item = config_.currentItems->find(name)) currentItems.push_back(*item);
   }
-  return standing;
+  return currentItems;
 }
 
-void Agreement::decided(Span now, const std::vector<Item>& items, Effects& effects) {
-  learnDecided(now, items, effects);
+void Agreement::recordDecided(Span now, const std::vector<Item>& items, Effects& effects) {
+  applyDecided(now, items, effects);
 }
 
-void Agreement::learnDecided(Span now, const std::vector<Item>& items, Effects& effects) {
-  learnDecided(now, registersOf(items), {}, effects);
+void Agreement::applyDecided(Span now, const std::vector<Item>& items, Effects& effects) {
+  applyDecided(now, registersOf(items), {}, effects);
 }
 
-void Agreement::learnDecided(Span now, const std::vector<DecidedRegister>& decided,
-                             const std::vector<Item>& standing, Effects& effects) {
+void Agreement::applyDecided(Span now, const std::vector<DecidedRegister>& decided,
+                             const std::vector<Item>& currentItems, Effects& effects) {
   if (decided.empty()) return;
   std::vector<RegisterId> ids;
   for (const DecidedRegister& reg : decided) {
-    if (reg.print != 0) history_.record(reg.id, reg.print);
+    if (reg.hash != 0) history_.record(reg.id, reg.hash);
     if (history_.find(reg.id)) ids.push_back(reg.id);
   }
   history_.writeChanges(effects);
-  std::vector<OrderPtr> settled = acceptor_.settle(ids, effects);
-  const std::vector<OrderPtr> brought = proposer_.settle(now, decided, standing, effects);
-  settled.insert(settled.end(), brought.begin(), brought.end());
-  bringIntoForce(settled, effects);
+  std::vector<OrderPtr> resolved = acceptor_.applyDecided(ids, effects);
+  const std::vector<OrderPtr> finished = proposer_.applyDecided(now, decided, currentItems, effects);
+  resolved.insert(resolved.end(), finished.begin(), finished.end());
+  collectNewlyDecided(resolved, effects);
 }
 
-void Agreement::bringIntoForce(const std::vector<OrderPtr>& orders, Effects& effects) const {
+void Agreement::collectNewlyDecided(const std::vector<OrderPtr>& orders, Effects& effects) const {
   std::map<RegisterId, const Item*> items;
   for (const OrderPtr& order : orders) {
     for (const Item& item : order->items) {
-      if (history_.stateOf(item) == RegisterState::same && built_.inForce->newer(item)) {
+      if (history_.stateOf(item) == RegisterState::sameValue && config_.currentItems->newer(item)) {
         items.emplace(registerOf(item), &item);
       }
     }
@@ -169,26 +170,26 @@
 
 // --- as proposer
 
-void Agreement::heard(Span now, const PrepareReply& message, Effects& effects) {
-  learnDecided(now, message.decided, message.standing, effects);
-  proposer_.heard(now, message, effects);
+void Agreement::handle(Span now, const PrepareReply& message, Effects& effects) {
+  applyDecided(now, message.decided, message.currentItems, effects);
+  proposer_.handle(now, message, effects);
 }
 
-void Agreement::heard(Span now, const AcceptReply& message, Effects& effects) {
-  learnDecided(now, message.decided, message.standing, effects);
-  const OrderPtr order = proposer_.heard(now, message, effects);
-  if (order != nullptr) learnDecided(now, order->items, effects);
+void Agreement::handle(Span now, const AcceptReply& message, Effects& effects) {
+  applyDecided(now, message.decided, message.currentItems, effects);
+  const OrderPtr order = proposer_.handle(now, message, effects);
+  if (order != nullptr) applyDecided(now, order->items, effects);
 }
 
 void Agreement::propose(Span now, std::uint64_t call, OrderPtr order, Effects& effects) {
   OrderOutcome outcome{call, OrderResult::decided, {}};
   std::vector<DecidedRegister> conflicting;
   for (const Item& item : order->items) {
-    if (history_.stateOf(item) == RegisterState::other) conflicting.push_back({registerOf(item), 0});
+    if (history_.stateOf(item) == RegisterState::otherValue) conflicting.push_back({registerOf(item), 0});
   }
   if (!conflicting.empty()) {
     outcome.result = OrderResult::conflict;
-    outcome.standing = standingAt(conflicting);
+    outcome.standing = currentItemsOf(conflicting);
   } else if (undecided(*order)) {
     if (proposer_.propose(now, call, order, effects)) return;
     outcome.result = OrderResult::busy;
@@ -199,30 +200,31 @@
 void Agreement::forgetCall(std::uint64_t call) { proposer_.forgetCall(call); }
 
 void Agreement::tick(Span now, Effects& effects) {
-  settleRestored(now, effects);
+  resolveRestored(now, effects);
   proposer_.tick(now, effects);
-  completeSilentOrders(now, effects);
+  completeStalledOrders(now, effects);
   acceptor_.expire(now, effects);
 }
 
-void Agreement::settleRestored(Span now, Effects& effects) {
-  if (!std::exchange(restored_, false)) return;
-  learnDecided(now, history_.all(), {}, effects);
+void Agreement::resolveRestored(Span now, Effects& effects) {
+  if (!std::exchange(restorePending_, false)) return;
+  applyDecided(now, history_.all(), {}, effects);
 }
 
-Span Agreement::silenceAllowed(const Order& order) const {
-  const auto self = std::find(set_.voters.begin(), set_.voters.end(), built_.self);
-  return kSilenceAllowed + kSilenceAllowedPerRank * (self - set_.voters.begin()) +
-         2 * timeForSize(order.items.size());
+Span Agreement::stallTimeout(const Order& order) const {
+  const auto self = std::find(set_.voters.begin(), set_.voters.end(), config_.self);
+  return kStallTimeout + kStallTimeoutPerRank * (self - set_.voters.begin()) +
+         2 * extraTimeFor(order.items.size());
 }
 
-void Agreement::completeSilentOrders(Span now, Effects& effects) {
-  if (!mayVote_ || !set_.contains(built_.self)) return;
-  std::vector<OrderPtr> silent;
-  for (const auto& [id, held] : acceptor_.held()) {
-    if (now - held.since >= silenceAllowed(*held.accepted.order)) silent.push_back(held.accepted.order);
+void Agreement::completeStalledOrders(Span now, Effects& effects) {
+  if (!mayVote_ || !set_.contains(config_.self)) return;
+  std::vector<OrderPtr> stalled;
+  for (const auto& [id, entry] : acceptor_.acceptedOrders()) {
+    if (now - entry.lastProposed >= stallTimeout(*entry.accepted.order))
+      stalled.push_back(entry.accepted.order);
   }
-  for (const OrderPtr& order : silent) {
+  for (const OrderPtr& order : stalled) {
     acceptor_.touch(now, order->id);
     proposer_.complete(now, order, effects);
   }
@@ -230,10 +232,10 @@
 
 std::optional<Span> Agreement::nextTick() const {
   std::optional<Span> next = proposer_.nextTick();
-  if (!mayVote_ || !set_.contains(built_.self)) return next;
-  for (const auto& [id, held] : acceptor_.held()) {
-    const Span silent = held.since + silenceAllowed(*held.accepted.order);
-    if (!next || silent < *next) next = silent;
+  if (!mayVote_ || !set_.contains(config_.self)) return next;
+  for (const auto& [id, entry] : acceptor_.acceptedOrders()) {
+    const Span stalled = entry.lastProposed + stallTimeout(*entry.accepted.order);
+    if (!next || stalled < *next) next = stalled;
   }
   return next;
 }
@@ -242,47 +244,47 @@
 
 std::vector<AcceptedOrder> Agreement::accepted() const {
   std::vector<AcceptedOrder> orders;
-  for (const auto& [id, held] : acceptor_.held()) orders.push_back(held.accepted);
+  for (const auto& [id, entry] : acceptor_.acceptedOrders()) orders.push_back(entry.accepted);
   return orders;
 }
 
-std::set<std::uint64_t> Agreement::acceptedChanges() const {
-  std::set<std::uint64_t> changes;
-  for (const auto& [id, held] : acceptor_.held()) {
-    if (!isVoterSet(*held.accepted.order)) changes.insert(id);
+std::set<std::uint64_t> Agreement::acceptedConfigurationOrders() const {
+  std::set<std::uint64_t> ids;
+  for (const auto& [id, entry] : acceptor_.acceptedOrders()) {
+    if (!isVoterSetOrder(*entry.accepted.order)) ids.insert(id);
   }
-  return changes;
+  return ids;
 }
 
 std::vector<AcceptedOrder> Agreement::stillAccepted(const std::set<std::uint64_t>& orders) const {
-  std::vector<AcceptedOrder> still;
+  std::vector<AcceptedOrder> result;
   for (const std::uint64_t order : orders) {
-    const auto held = acceptor_.held().find(order);
-    if (held != acceptor_.held().end()) still.push_back(held->second.accepted);
+    const auto entry = acceptor_.acceptedOrders().find(order);
+    if (entry != acceptor_.acceptedOrders().end()) result.push_back(entry->second.accepted);
   }
-  return still;
+  return result;
 }
 
 std::vector<DecidedRegister> Agreement::decidedRegisters() const { return history_.all(); }
 
-void Agreement::learn(Span now, const std::vector<AcceptedOrder>& accepted,
-                      const std::vector<DecidedRegister>& decided, Effects& effects) {
-  learnDecided(now, decided, {}, effects);
+void Agreement::importState(Span now, const std::vector<AcceptedOrder>& accepted,
+                            const std::vector<DecidedRegister>& decided, Effects& effects) {
+  applyDecided(now, decided, {}, effects);
   for (const AcceptedOrder& order : accepted) {
-    if (undecided(*order.order)) acceptor_.hold(now, order, effects);
+    if (undecided(*order.order)) acceptor_.store(now, order, effects);
   }
 }
 
 bool Agreement::isDecided(const Order& order) const {
   return std::all_of(order.items.begin(), order.items.end(),
-                     [this](const Item& item) { return history_.stateOf(item) == RegisterState::same; });
+                     [this](const Item& item) { return history_.stateOf(item) == RegisterState::sameValue; });
 }
 
 bool Agreement::undecided(const Order& order) const {
   bool open = false;
   for (const Item& item : order.items) {
     const RegisterState state = history_.stateOf(item);
-    if (state == RegisterState::other) return false;  // void
+    if (state == RegisterState::otherValue) return false;  // cannot be decided any more
     open = open || state == RegisterState::open;
   }
   return open;
@@ -299,6 +301,6 @@
   }
 }
 
-std::size_t Agreement::proposalsUnderWay() const { return proposer_.underWay(); }
+std::size_t Agreement::proposalsInFlight() const { return proposer_.size(); }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/agreement.hpp
+++ b/src/mesh/control/agreement.hpp
@@ -1,21 +1,23 @@
 #pragma once
 
-// Agreement on orders: for each version of each item (a register) exactly one value is ever decided, by a
-// majority of the voters, in ballots (single-decree Paxos, a register each). All registers of an order are
-// accepted by a voter together or not at all, so that an order comes into force whole or not at all.
+// Agreement on orders. Each version of each item is a register for which at most one value is ever decided,
+// by a majority of the voters (single-decree Paxos per register). A voter accepts all registers of an order
+// or none of them, so an order takes effect atomically.
 //
-// Safety. Whoever proposes for a register first has a majority promise its ballot, and learns from them which
-// orders they accepted for it. An order found that way is completed before any other value is proposed; it is
-// passed over only if another value is known to be decided for one of its registers, as it then was never
-// accepted by a majority, or if too few voters are left that may have accepted it for a majority. Ballots,
-// promises and acceptances count within one epoch of the voters only; ballots of a later epoch are above all
-// of an earlier one. register_acceptor.hpp has the voter's half, order_proposer.hpp the proposer's.
+// Safety: a proposer first obtains promises for its ballot from a majority and learns which orders those
+// voters have accepted for its registers. It completes such an order before it proposes another value. It
+// skips an accepted order only if a different value is known to be decided for one of the order's registers,
+// so a majority never accepted it, or if too few of the remaining voters can have accepted it to form a
+// majority. Ballots, promises and acceptances are valid within one epoch of the voter set only; ballots of a
+// later epoch are higher than all ballots of earlier epochs. register_acceptor.hpp implements the acceptor,
+// order_proposer.hpp the proposer.
 //
-// What was decided of an order in part (an equal item came into force with another order) is left out of what
-// is proposed; the rest is an order of its own.
+// If some registers of an order are already decided with the proposed values, because another order contained
+// equal items, only the remaining items are proposed.
 //
-// A state machine: it takes inputs and returns effects; no I/O, no clock. It must never tell of a promise or
-// an acceptance before it is on disk; whoever runs it sends Effects::afterWrite only then.
+// This is a state machine without I/O or a clock: it takes inputs and returns effects. Promises and
+// acceptances must be durable before a reply reports them, so the caller sends Effects::afterWrite only after
+// the entries of the same Effects are on disk.
 
 #include <cstdint>
 #include <functional>
@@ -33,109 +35,117 @@
 
 namespace rackroute::mesh {
 
-/// The item under which a set of voters is agreed on; made one way only, as its print is compared.
+/// The item that represents a voter set in the agreement. All processes must build it identically because its
+/// hash is compared.
 Item itemOf(const VoterSet& set);
 
 class Agreement {
  public:
-  struct Built {
+  struct Config {
     VoterId self;
-    std::uint64_t seed = 0;  // of the pauses between ballots
-    /// The items in force here; the caller's, who merges into them. Must outlive this.
-    const Items* inForce = nullptr;
-    /// Whether this process may accept that set of voters as the next one. If not, it does not reply.
-    /// mayBeDecided: a majority may have accepted it before, so that it can't be held up.
+    std::uint64_t seed = 0;  // for the random backoff between ballots
+    /// Current items of this process. Owned and updated by the caller; must outlive this object.
+    const Items* currentItems = nullptr;
+    /// Whether this process may accept the set as the next voter set. If not, the Accept gets no reply.
+    /// mayBeDecided: a majority may have accepted the set already, so it must not be blocked.
     std::function<bool(const VoterSet&, bool mayBeDecided)> acceptable = {};
-    /// Whether that voter never votes again, as its disk is known to be lost. Without it none is.
-    std::function<bool(const VoterId&)> isGone = {};
+    /// Whether the voter will never vote again because its disk is known to be lost. If unset, no voter is
+    /// considered lost.
+    std::function<bool(const VoterId&)> isPermanentlyLost = {};
   };
-  explicit Agreement(Built built);
+  explicit Agreement(Config config);
   Agreement(const Agreement&) = delete;
   Agreement& operator=(const Agreement&) = delete;
 
   // --- state
 
-  /// What a store holds under this part's keys; to be called before all else. False: it is none of its
-  /// entries.
+  /// Restores one stored entry. Must be called for all entries before any other input. Returns false if the
+  /// key does not belong to the agreement.
   bool restore(const std::string& key, const std::string& value);
-  /// Another set counts from now on; proposals under way begin anew in it. Also the first set (epoch 0),
-  /// which may come again with more voters. The set is recorded as decided; an earlier epoch's is ignored.
-  void voters(const VoterSet& set, Span now, Effects& effects);
-  /// This process votes only if it is in the set and lacks nothing that it must have read.
-  void mayVote(bool may) { mayVote_ = may; }
-  /// Who this process is, as its disk tells; before voters().
-  void identify(const VoterId& self);
-  /// The process was voted out and has taken another incarnation: what it promised and accepted counts no
-  /// more.
+  /// Installs a voter set and records it as decided; proposals in flight restart in its epoch. The initial
+  /// set (epoch 0) may be installed again with more voters. Sets of an earlier epoch are ignored.
+  void setVoters(const VoterSet& set, Span now, Effects& effects);
+  /// Set if this process is in the voter set and its state is complete. Without it, the process does not
+  /// vote.
+  void setMayVote(bool may) { mayVote_ = may; }
+  /// Sets the identity read from disk. Must be called before setVoters().
+  void setSelf(const VoterId& self);
+  /// Discards all promises and accepted orders, after the process was removed from the voter set and took a
+  /// new incarnation.
   void reset(const VoterId& self, Effects& effects);
 
   // --- as voter
 
-  void heard(Span now, const Address& from, const Prepare& message, Effects& effects);
-  void heard(Span now, const Address& from, const Accept& message, Effects& effects);
-  /// Items became known as decided, from whatever source (a Decided, a copy fetched from another process, the
-  /// store of an earlier version). The caller merges them into the items in force before, and writes its own
-  /// entries for them in the batch that has effects.entries. What else is decided by this comes in
-  /// effects.decided, which the caller merges and writes likewise: in the same batch, after the call.
-  void decided(Span now, const std::vector<Item>& items, Effects& effects);
+  void handle(Span now, const Address& from, const Prepare& message, Effects& effects);
+  void handle(Span now, const Address& from, const Accept& message, Effects& effects);
+  /// Records items as decided, whatever the source: a Decided message, items fetched from another process, or
+  /// a store written by an earlier version. Before the call, the caller merges the items into the current
+  /// items; it writes its own entries for them in the same batch as effects.entries. Further items that
+  /// become decided as a result are returned in effects.decided; the caller merges and writes them in that
+  /// batch as well.
+  void recordDecided(Span now, const std::vector<Item>& items, Effects& effects);
 
   // --- as proposer
 
-  void heard(Span now, const PrepareReply& message, Effects& effects);
-  void heard(Span now, const AcceptReply& message, Effects& effects);
-  /// Brings an order to a decision; Effects::outcomes tells of it under that number. 0: nobody asks, and it
-  /// is given up if its first ballot fails before an Accept was sent. An empty order is decided.
+  void handle(Span now, const PrepareReply& message, Effects& effects);
+  void handle(Span now, const AcceptReply& message, Effects& effects);
+  /// Starts to bring an order to a decision. The outcome is reported in Effects::outcomes under the call
+  /// number. With call 0 no outcome is reported, and the proposal is abandoned if its first ballot fails
+  /// before an Accept was sent. An empty order counts as decided.
   void propose(Span now, std::uint64_t call, OrderPtr order, Effects& effects);
-  /// Whoever asked has been answered; the proposal itself goes on.
+  /// Drops the call because it has been answered. The proposal continues if it may already be accepted
+  /// somewhere or other calls wait for it.
   void forgetCall(std::uint64_t call);
-  /// Begins refused ballots anew, gives up silent ones, and completes orders of proposers that have gone
-  /// silent.
+  /// Retries failed ballots, times out unanswered ones, and completes accepted orders whose proposers have
+  /// stopped making progress.
   void tick(Span now, Effects& effects);
-  /// When tick() has something to do next; it may be called at any time.
+  /// Time at which tick() next has work; tick() may be called at any time.
   [[nodiscard]] std::optional<Span> nextTick() const;
 
-  /// All of its items are decided as it gives them: it was taken before. False also where that is forgotten.
+  /// Whether every item of the order is decided with the value given there. Also false if an item's decision
+  /// has expired from the history.
   [[nodiscard]] bool isDecided(const Order& order) const;
 
   // --- for readers
 
-  /// Orders that this process accepted and does not know to be decided.
+  /// Orders that this process has accepted and does not know to be decided.
   [[nodiscard]] std::vector<AcceptedOrder> accepted() const;
-  /// The numbers of those with items of the configuration.
-  [[nodiscard]] std::set<std::uint64_t> acceptedChanges() const;
-  /// Which of them it still does not know to be decided.
+  /// Ids of those accepted orders that contain configuration items.
+  [[nodiscard]] std::set<std::uint64_t> acceptedConfigurationOrders() const;
+  /// Those of the given orders that are still accepted and not known to be decided.
   [[nodiscard]] std::vector<AcceptedOrder> stillAccepted(const std::set<std::uint64_t>& orders) const;
-  /// Registers decided here, with their values' prints, as far as they are remembered.
+  /// Decided registers with the hashes of their values, as far as the history reaches.
   [[nodiscard]] std::vector<DecidedRegister> decidedRegisters() const;
-  /// State of another voter, read while this one joins. Only of a fenced voter.
-  void learn(Span now, const std::vector<AcceptedOrder>& accepted,
-             const std::vector<DecidedRegister>& decided, Effects& effects);
-  /// Orders that are accepted somewhere and decided nowhere that is known: those to be completed before a
-  /// read of a majority may be answered. True: none of these is undecided here.
+  /// Imports the state of another voter while this process joins. That voter must be fenced: it no longer
+  /// votes in earlier epochs.
+  void importState(Span now, const std::vector<AcceptedOrder>& accepted,
+                   const std::vector<DecidedRegister>& decided, Effects& effects);
+  /// Whether none of these orders, accepted by some voter, is still undecided here. A majority read completes
+  /// the undecided ones before it returns.
   [[nodiscard]] bool allDecided(const std::vector<AcceptedOrder>& accepted) const;
-  /// Completes them.
+  /// Proposes those of these orders that are undecided.
   void complete(Span now, const std::vector<AcceptedOrder>& accepted, Effects& effects);
-  [[nodiscard]] std::size_t proposalsUnderWay() const;
+  [[nodiscard]] std::size_t proposalsInFlight() const;
 
  private:
-  /// Facts about registers, and what stands at their names, as far as it was told with them.
-  void learnDecided(Span now, const std::vector<DecidedRegister>& decided, const std::vector<Item>& standing,
-                    Effects& effects);
-  void learnDecided(Span now, const std::vector<Item>& items, Effects& effects);
-  /// Puts those items of decided orders into effects that are newer than what is in force.
-  void bringIntoForce(const std::vector<OrderPtr>& orders, Effects& effects) const;
-  void settleRestored(Span now, Effects& effects);
-  void completeSilentOrders(Span now, Effects& effects);
-  [[nodiscard]] Span silenceAllowed(const Order& order) const;
+  /// Records decided registers, with the current items of the same names as far as the sender included them.
+  void applyDecided(Span now, const std::vector<DecidedRegister>& decided,
+                    const std::vector<Item>& currentItems, Effects& effects);
+  void applyDecided(Span now, const std::vector<Item>& items, Effects& effects);
+  /// Adds the decided items of these orders that are newer than the current items to effects.decided.
+  void collectNewlyDecided(const std::vector<OrderPtr>& orders, Effects& effects) const;
+  void resolveRestored(Span now, Effects& effects);
+  void completeStalledOrders(Span now, Effects& effects);
+  [[nodiscard]] Span stallTimeout(const Order& order) const;
   [[nodiscard]] bool mayVoteOn(const Ballot& ballot, Epoch epoch) const;
   [[nodiscard]] bool acceptable(const Accept& message) const;
   [[nodiscard]] bool undecided(const Order& order) const;
-  [[nodiscard]] std::vector<Item> standingAt(const std::vector<DecidedRegister>& decided) const;
+  [[nodiscard]] std::vector<Item> currentItemsOf(const std::vector<DecidedRegister>& decided) const;
 
-  Built built_;
+  Config config_;
   VoterSet set_;
   bool mayVote_ = false;
-  bool restored_ = false;  // and not yet looked through
+  bool restorePending_ = false;  // entries were restored and resolveRestored() has not run
   DecidedHistory history_;
   RegisterAcceptor acceptor_;
   OrderProposer proposer_;
--- a/src/mesh/control/agreement_store.cpp
+++ b/src/mesh/control/agreement_store.cpp
@@ -33,11 +33,11 @@
 
 std::string historyKey(const ItemKey& name) { return std::string(kHistoryPrefix) + textOf(name); }
 
-std::string ballotText(const Ballot& ballot) { return toJson(ballot).dump(); }
+std::string formatBallot(const Ballot& ballot) { return toJson(ballot).dump(); }
 
-Ballot readBallot(const std::string& text) { return ballotFrom(json::parse(text)); }
+Ballot parseBallot(const std::string& text) { return ballotFrom(json::parse(text)); }
 
-std::string promiseText(const PromisedRegisters& promise) {
+std::string formatPromise(const PromisedRegisters& promise) {
   json registers = json::array();
   for (const RegisterId& id : promise.registers) {
     registers.push_back(json::array({textOf(id.item), id.version.value}));
@@ -45,7 +45,7 @@
   return json{{"ballot", toJson(promise.ballot)}, {"registers", std::move(registers)}}.dump();
 }
 
-PromisedRegisters readPromise(const std::string& text) {
+PromisedRegisters parsePromise(const std::string& text) {
   const json from = json::parse(text);
   PromisedRegisters promise;
   promise.ballot = ballotFrom(from.at("ballot"));
@@ -56,30 +56,30 @@
   return promise;
 }
 
-std::string orderText(const AcceptedOrder& accepted) {
-  // The items' own texts are shared with the messages that carried them.
-  std::string text = "{\"ballot\":" + ballotText(accepted.ballot) + ",\"items\":[";
+std::string formatOrder(const AcceptedOrder& accepted) {
+  // Reuses the serialized items of the messages that carried them.
+  std::string text = "{\"ballot\":" + formatBallot(accepted.ballot) + ",\"items\":[";
   for (const Item& item : accepted.order->items) text += wireOf(item) + ',';
   if (text.back() == ',') text.pop_back();
   return text + "]}";
 }
 
-AcceptedOrder readOrder(const std::string& text) {
+AcceptedOrder parseOrder(const std::string& text) {
   const json from = json::parse(text);
   std::vector<Item> items;
   for (const json& item : from.at("items")) items.push_back(itemFrom(item));
   return {ballotFrom(from.at("ballot")), makeOrder(std::move(items))};
 }
 
-std::string historyText(const std::vector<DecidedVersion>& versions) {
+std::string formatHistory(const std::vector<DecidedVersion>& versions) {
   json list = json::array();
   for (const DecidedVersion& entry : versions) {
-    list.push_back(json::array({entry.version.value, entry.print}));
+    list.push_back(json::array({entry.version.value, entry.hash}));
   }
   return list.dump();
 }
 
-std::vector<DecidedVersion> readHistory(const std::string& text) {
+std::vector<DecidedVersion> parseHistory(const std::string& text) {
   std::vector<DecidedVersion> versions;
   for (const json& entry : json::parse(text)) {
     versions.push_back({{entry.at(0).get<std::uint64_t>()}, entry.at(1).get<std::uint64_t>()});
--- a/src/mesh/control/ballot_rounds.hpp
+++ b/src/mesh/control/ballot_rounds.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// How a ballot's round is made of the epoch and of a counter. The epoch comes first, so that what was
-// accepted in a later epoch is always above what a process that had not yet heard of it accepted in an
-// earlier one.
+// Layout of a ballot's round: the epoch in the high bits, a counter in the low bits. Any ballot of a later
+// epoch is therefore higher than the ballots of earlier epochs, including those of processes that have not
+// yet received the new voter set.
 
 #include "mesh/control/messages.hpp"
 
@@ -11,7 +11,7 @@
 inline constexpr unsigned kCounterBits = 40;
 inline constexpr std::uint64_t kCounterMask = (std::uint64_t{1} << kCounterBits) - 1;
 
-constexpr std::uint64_t roundOf(Epoch epoch, std::uint64_t counter) {
+constexpr std::uint64_t makeRound(Epoch epoch, std::uint64_t counter) {
   return (epoch.value << kCounterBits) | (counter & kCounterMask);
 }
 constexpr Epoch epochOf(const Ballot& ballot) { return {ballot.round >> kCounterBits}; }
--- a/src/mesh/control/base64.cpp
+++ b/src/mesh/control/base64.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 constexpr std::string_view kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
-constexpr std::uint8_t kNoDigit = 64;
+constexpr std::uint8_t kInvalidDigit = 64;
 
-constexpr std::array<std::uint8_t, 256> valuesOfDigits() {
+constexpr std::array<std::uint8_t, 256> makeDigitValues() {
   std::array<std::uint8_t, 256> values{};
-  for (std::uint8_t& value : values) value = kNoDigit;
+  for (std::uint8_t& value : values) value = kInvalidDigit;
   for (std::size_t i = 0; i < kDigits.size(); ++i)
     values[static_cast<unsigned char>(kDigits[i])] = static_cast<std::uint8_t>(i);
   return values;
 }
-constexpr std::array<std::uint8_t, 256> kValues = valuesOfDigits();
+constexpr std::array<std::uint8_t, 256> kDigitValues = makeDigitValues();
 
 }  // namespace
 
@@ -44,8 +44,8 @@
   std::uint32_t group = 0;
   for (std::size_t i = 0; i < text.size(); ++i) {
     const bool padded = i + padding >= text.size();
-    const std::uint8_t value = padded ? 0 : kValues[static_cast<unsigned char>(text[i])];
-    if (value == kNoDigit) return std::nullopt;
+    const std::uint8_t value = padded ? 0 : kDigitValues[static_cast<unsigned char>(text[i])];
+    if (value == kInvalidDigit) return std::nullopt;
     group = group << 6 | value;
     if (i % 4 != 3) continue;
     for (int shift = 16; shift >= 0; shift -= 8) bytes.push_back(static_cast<std::uint8_t>(group >> shift));
--- a/src/mesh/control/base64.hpp
+++ b/src/mesh/control/base64.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Bytes as text, for the binary parts of JSON messages (RFC 4648, section 4, with padding).
+// Base64 with padding (RFC 4648, section 4), for binary fields of JSON messages.
 
 #include <cstdint>
 #include <optional>
@@ -11,7 +11,7 @@
 namespace rackroute::mesh {
 
 std::string toBase64(const std::vector<std::uint8_t>& bytes);
-/// None: it is no such text.
+/// Returns nothing if the text is not valid base64.
 std::optional<std::vector<std::uint8_t>> fromBase64(std::string_view text);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/control_node.cpp
+++ b/src/mesh/control/control_node.cpp
@@ -30,7 +30,7 @@
                   [this](const VoterSet& set, bool mayBeDecided) {
                     return membership_.acceptable(now_, set, mayBeDecided);
                   },
-                  [this](const VoterId& voter) { return membership_.isGone(voter); }}),
+                  [this](const VoterId& voter) { return membership_.isPermanentlyLost(voter); }}),
       reads_(items_, agreement_),
       recovery_(self_),
       operators_(items_, agreement_, reads_),
@@ -110,15 +110,15 @@
     effects.entries.push_back(entryOf(identity_));
   }
   self_.incarnation = identity_.incarnation;
-  agreement_.identify(self_);
+  agreement_.setSelf(self_);
   recovery_.reincarnate(self_);
   membership_ = Membership({self_, identity_.founder, built_.founders});
-  membership_.holdsState(identity_.holdsState);
+  membership_.setHoldsState(identity_.holdsState);
   durableDigest_ = items_.digest();
   if (const Item* item = items_.find(itemOf(VoterSet{}).key)) {
     adopt(now, voterSetFrom(item->value), effects);
   } else {
-    agreement_.voters(membership_.set(), now, effects);
+    agreement_.setVoters(membership_.set(), now, effects);
     updateVoting();
   }
   apply(now, std::move(effects), actions);
@@ -256,7 +256,7 @@
     echo = std::max(echo, session.lastSequence);
   }
   Heartbeat heartbeat = status(now);
-  heartbeat.sequence = contact_.sent(now);
+  heartbeat.sequence = contact_.nextHeartbeat(now);
   for (const auto& [no, session] : sessions_.all()) {
     if (!session.control || !session.greeted) continue;
     heartbeat.echo = echoes[session.at];
@@ -272,15 +272,15 @@
 
 void ControlNode::settle(Span now, ControlActions& actions) {
   const VoterSet& set = membership_.set();
-  const bool inTouch = set.epoch.value != 0 && membership_.isVoter() && contact_.inTouch(now, set, self_);
+  const bool inTouch = set.epoch.value != 0 && membership_.isVoter() && contact_.isHeld(now, set, self_);
   if (!inTouch) contactRead_ = 0;
   if (inTouch && contactRead_ == 0) {
     Effects effects;
-    contactRead_ = reads_.join(now, set, effects);
+    contactRead_ = reads_.request(now, set, effects);
     apply(now, std::move(effects), actions);
   }
   inTouch_ = inTouch;
-  const bool settled = inTouch && identity_.holdsState && reads_.finished() >= contactRead_;
+  const bool settled = inTouch && identity_.holdsState && reads_.lastCompleted() >= contactRead_;
   if (settled == settled_) return;
   settled_ = settled;
   // Sidecars choose their homes by it: they are told at once.
--- a/src/mesh/control/control_node.hpp
+++ b/src/mesh/control/control_node.hpp
@@ -25,7 +25,7 @@
 #include "mesh/control/control_identity.hpp"
 #include "mesh/control/durable_writes.hpp"
 #include "mesh/control/key_voter.hpp"
-#include "mesh/control/majority_contact.hpp"
+#include "mesh/control/majority_lease.hpp"
 #include "mesh/control/majority_read.hpp"
 #include "mesh/control/membership.hpp"
 #include "mesh/control/operator_calls.hpp"
@@ -123,7 +123,7 @@
   void take(Span now, SessionNo from, const ReadReply& reply, ControlActions& actions);
   void take(Span now, SessionNo from, const RegistryUpdate& update, ControlActions& actions);
   void take(Span now, SessionNo from, const ServersUpdate& update, ControlActions& actions);
-  void take(Span now, SessionNo from, const Follow& follow, ControlActions& actions);
+  void take(Span now, SessionNo from, const Subscribe& follow, ControlActions& actions);
   void take(Span now, SessionNo from, const ClaimRequest& request, ControlActions& actions);
   void take(Span now, SessionNo from, const ReleaseRequest& request, ControlActions& actions);
   void take(Span now, SessionNo from, const Votes& votes, ControlActions& actions);
@@ -185,7 +185,7 @@
   Items items_;
   KeyVoter keys_;
   Membership membership_;
-  MajorityContact contact_;
+  MajorityLease contact_;
   Agreement agreement_;
   MajorityRead reads_;
   VoterRecovery recovery_;
--- a/src/mesh/control/control_node_messages.cpp
+++ b/src/mesh/control/control_node_messages.cpp
@@ -139,7 +139,7 @@
   send(no, news_.all(), actions);
   requestItems(no, actions);
   Effects effects;
-  reads_.reached(now, effects);
+  reads_.voterReconnected(now, effects);
   apply(now, std::move(effects), actions);
 }
 
@@ -148,7 +148,7 @@
   if (session == nullptr || !session->control) return;
   session->lastSequence = std::max(session->lastSequence, heartbeat.sequence);
   const bool sameEpoch = heartbeat.epoch == membership_.set().epoch;
-  if (sameEpoch) contact_.echoed(session->peer, heartbeat.echo);
+  if (sameEpoch) contact_.recordEcho(session->peer, heartbeat.echo);
   if (!session->dialled) return;
   if (sameEpoch) membership_.peerHoldsState(now, session->peer, heartbeat.holdsState);
   session->digest = heartbeat.digest;
@@ -181,26 +181,26 @@
 void ControlNode::take(Span now, SessionNo from, const Prepare& prepare, ControlActions& actions) {
   if (!sameEpoch(from, prepare.epoch, actions)) return;
   Effects effects;
-  agreement_.heard(now, addressOf(from), prepare, effects);
+  agreement_.handle(now, addressOf(from), prepare, effects);
   apply(now, std::move(effects), actions);
 }
 
 void ControlNode::take(Span now, SessionNo, const PrepareReply& reply, ControlActions& actions) {
   Effects effects;
-  agreement_.heard(now, reply, effects);
+  agreement_.handle(now, reply, effects);
   apply(now, std::move(effects), actions);
 }
 
 void ControlNode::take(Span now, SessionNo from, const Accept& accept, ControlActions& actions) {
   if (!sameEpoch(from, accept.epoch, actions)) return;
   Effects effects;
-  agreement_.heard(now, addressOf(from), accept, effects);
+  agreement_.handle(now, addressOf(from), accept, effects);
   apply(now, std::move(effects), actions);
 }
 
 void ControlNode::take(Span now, SessionNo, const AcceptReply& reply, ControlActions& actions) {
   Effects effects;
-  agreement_.heard(now, reply, effects);
+  agreement_.handle(now, reply, effects);
   apply(now, std::move(effects), actions);
 }
 
@@ -222,7 +222,7 @@
   waitingReads_.erase(std::remove_if(waitingReads_.begin(), waitingReads_.end(),
                                      [&](const WaitingRead& older) { return older.from == reader; }),
                       waitingReads_.end());
-  waitingReads_.push_back({reader, request, agreement_.acceptedChanges(), now + kOrdersInFlight});
+  waitingReads_.push_back({reader, request, agreement_.acceptedConfigurationOrders(), now + kOrdersInFlight});
   answerReads(now, actions);
 }
 
@@ -251,7 +251,7 @@
 
 void ControlNode::take(Span now, SessionNo, const ReadReply& reply, ControlActions& actions) {
   Effects effects;
-  reads_.heard(now, reply, effects);
+  reads_.handle(now, reply, effects);
   apply(now, std::move(effects), actions);
 }
 
@@ -308,7 +308,7 @@
   write(std::move(entries), std::move(waiting), actions);
 }
 
-void ControlNode::take(Span, SessionNo from, const Follow& follow, ControlActions& actions) {
+void ControlNode::take(Span, SessionNo from, const Subscribe& follow, ControlActions& actions) {
   ServerNews::Out out;
   news_.follow(from, follow, out);
   publish(std::move(out), actions);
--- a/src/mesh/control/control_node_state.cpp
+++ b/src/mesh/control/control_node_state.cpp
@@ -33,7 +33,7 @@
   if (session == nullptr) return;
   if (!session->control && request.confirmed) {
     Effects effects;
-    const std::uint64_t read = reads_.join(now, membership_.set(), effects);
+    const std::uint64_t read = reads_.request(now, membership_.set(), effects);
     confirmed_.erase(std::remove_if(confirmed_.begin(), confirmed_.end(),
                                     [&](const ConfirmedRequest& older) { return older.session == from; }),
                      confirmed_.end());
@@ -74,7 +74,7 @@
 
 void ControlNode::answerConfirmed(ControlActions& actions) {
   for (auto at = confirmed_.begin(); at != confirmed_.end();) {
-    if (at->read > reads_.finished()) {
+    if (at->read > reads_.lastCompleted()) {
       ++at;
       continue;
     }
@@ -88,7 +88,7 @@
   if (session == nullptr || !session->control) return;
   const Address peer = session->at;
   takeItems(now, reply.items, actions);
-  if (reply.read != 0 && reply.last()) reads_.fetched(peer, reply.read);
+  if (reply.read != 0 && reply.last()) reads_.itemsMerged(peer, reply.read);
 }
 
 void ControlNode::takeItems(Span now, std::vector<Item> items, ControlActions& actions) {
@@ -131,7 +131,7 @@
 
 void ControlNode::take(Span now, SessionNo from, const SnapshotPart& part, ControlActions& actions) {
   Effects effects;
-  const auto read = recovery_.heard(now, part, keys_.uptime(now), keys_.promises(), agreement_, effects);
+  const auto read = recovery_.handle(now, part, keys_.uptime(now), keys_.promises(), agreement_, effects);
   if (!read) hangUp(now, from, actions, read.error().line());
   apply(now, std::move(effects), actions);
   finishRecovery(actions);
@@ -149,7 +149,7 @@
   entries.push_back(entryOf(whole));
   Waiting waiting;
   waiting.recovered = whole.stateEpoch;
-  WriteBatch batch = writes_.begin(std::move(entries), std::move(waiting));
+  WriteBatch batch = writes_.submit(std::move(entries), std::move(waiting));
   recording_ = batch.number;
   submit(std::move(batch), actions);
 }
@@ -169,14 +169,14 @@
 }
 
 void ControlNode::updateVoting() {
-  membership_.holdsState(identity_.holdsState);
-  agreement_.mayVote(mayVote());
+  membership_.setHoldsState(identity_.holdsState);
+  agreement_.setMayVote(mayVote());
 }
 
 void ControlNode::foundersChanged(Span now, ControlActions& actions) {
   if (membership_.set().epoch.value != 0) return;
   Effects effects;
-  agreement_.voters(membership_.set(), now, effects);
+  agreement_.setVoters(membership_.set(), now, effects);
   apply(now, std::move(effects), actions);
 }
 
@@ -187,7 +187,7 @@
   snapshots_.clear();
   const bool next = identity_.stateEpoch.value + 1 == set.epoch.value;
   heldBeforeSet_ = next && (identity_.founder || identity_.stateEpoch.value > 0);
-  if (membership_.votedOut()) {
+  if (membership_.wasRemoved()) {
     reincarnate(effects);
   } else if (set.contains(self_) && identity_.stateEpoch < set.epoch) {
     // Guards also against a voter that was away while sets followed each other: it may lack what one of them
@@ -201,8 +201,8 @@
     }
     effects.entries.push_back(entryOf(identity_));
   }
-  agreement_.voters(set, now, effects);
-  reads_.voters(now, set, effects);
+  agreement_.setVoters(set, now, effects);
+  reads_.setVoters(now, set, effects);
   updateVoting();
   votersChanged_ = true;
 }
@@ -236,7 +236,7 @@
   while (!decided.empty()) {
     Effects more;
     const std::vector<Item> newer = merge(decided, effects.entries);
-    agreement_.decided(now, decided, more);
+    agreement_.recordDecided(now, decided, more);
     for (const Item& item : newer) {
       if (item.key.kind == ItemKind::voters) adopt(now, voterSetFrom(item.value), more);
     }
@@ -256,7 +256,7 @@
 }
 
 void ControlNode::write(std::vector<StoreEntry> entries, Waiting waiting, ControlActions& actions) {
-  submit(writes_.begin(std::move(entries), std::move(waiting)), actions);
+  submit(writes_.submit(std::move(entries), std::move(waiting)), actions);
 }
 
 void ControlNode::submit(WriteBatch batch, ControlActions& actions) {
@@ -270,7 +270,7 @@
 ControlActions ControlNode::written(Span now, BatchNo batch, bool done) {
   now_ = now;
   ControlActions actions;
-  for (const Waiting& waiting : writes_.written(batch.value, done)) {
+  for (const Waiting& waiting : writes_.completed(batch.value, done)) {
     for (const Envelope& envelope : waiting.envelopes) send(envelope, actions);
     for (const auto& [session, text] : waiting.texts) {
       if (sessions_.find(session) != nullptr) sendText(session, text, actions);
@@ -280,7 +280,7 @@
     if (waiting.recovered) recovered(*waiting.recovered);
   }
   if (!done && recording_ == batch.value) recording_.reset();  // made anew with the next look
-  if (writes_.clean()) durableDigest_ = items_.digest();
+  if (writes_.allDurable()) durableDigest_ = items_.digest();
   conclude(now, actions);
   return actions;
 }
--- a/src/mesh/control/decided_history.cpp
+++ b/src/mesh/control/decided_history.cpp
@@ -5,9 +5,8 @@
 namespace rackroute::mesh {
 namespace {
 
-// Versions of a name that are remembered: bounds memory and disk, and is far beyond the versions that
-// operators have in flight.
-constexpr std::size_t kVersionsKept = 32;
+// Bounds memory and disk usage; far more versions than operators have in flight.
+constexpr std::size_t kMaxVersionsPerItem = 32;
 
 }  // namespace
 
@@ -15,22 +14,22 @@
   if (!key.starts_with(agreement_store::kHistoryPrefix)) return false;
   const auto name = keyOf(std::string_view(key).substr(agreement_store::kHistoryPrefix.size()));
   if (!name) return true;
-  for (const auto& entry : agreement_store::readHistory(value)) {
-    record({*name, entry.version}, entry.print);
+  for (const auto& entry : agreement_store::parseHistory(value)) {
+    record({*name, entry.version}, entry.hash);
   }
   changed_.erase(*name);
   return true;
 }
 
-bool DecidedHistory::record(const RegisterId& id, std::uint64_t print) {
+bool DecidedHistory::record(const RegisterId& id, std::uint64_t hash) {
   Versions& versions = names_[id.item];
   const auto place =
       std::lower_bound(versions.begin(), versions.end(), id.version,
                        [](const auto& entry, const Generation& version) { return entry.version < version; });
   if (place != versions.end() && place->version == id.version) return false;
-  if (versions.size() >= kVersionsKept && place == versions.begin()) return false;
-  versions.insert(place, {id.version, print});
-  if (versions.size() > kVersionsKept) versions.erase(versions.begin());
+  if (versions.size() >= kMaxVersionsPerItem && place == versions.begin()) return false;
+  versions.insert(place, {id.version, hash});
+  if (versions.size() > kMaxVersionsPerItem) versions.erase(versions.begin());
   changed_.insert(id.item);
   return true;
 }
@@ -38,7 +37,7 @@
 void DecidedHistory::writeChanges(Effects& effects) {
   for (const ItemKey& name : changed_) {
     effects.entries.emplace_back(agreement_store::historyKey(name),
-                                 agreement_store::historyText(names_.at(name)));
+                                 agreement_store::formatHistory(names_.at(name)));
   }
   changed_.clear();
 }
@@ -49,22 +48,22 @@
     const Versions& versions = name->second;
     const auto entry = std::find_if(versions.begin(), versions.end(),
                                     [&id](const auto& known) { return known.version == id.version; });
-    if (entry != versions.end()) return DecidedRegister{id, entry->print};
-    if (versions.size() >= kVersionsKept && id.version < versions.front().version) {
+    if (entry != versions.end()) return DecidedRegister{id, entry->hash};
+    if (versions.size() >= kMaxVersionsPerItem && id.version < versions.front().version) {
       return DecidedRegister{id, 0};
     }
   }
-  if (id.item.kind == ItemKind::voters && id.version.value <= votersDecidedTo_.value) {
+  if (id.item.kind == ItemKind::voters && id.version.value <= votersDecidedUpTo_.value) {
     return DecidedRegister{id, 0};
   }
   return std::nullopt;
 }
 
-RegisterState DecidedHistory::stateOf(const RegisterId& id, std::uint64_t print) const {
+RegisterState DecidedHistory::stateOf(const RegisterId& id, std::uint64_t hash) const {
   const auto decided = find(id);
   if (!decided) return RegisterState::open;
-  if (decided->print == 0) return RegisterState::forgotten;
-  return decided->print == print ? RegisterState::same : RegisterState::other;
+  if (decided->hash == 0) return RegisterState::expired;
+  return decided->hash == hash ? RegisterState::sameValue : RegisterState::otherValue;
 }
 
 std::optional<DecidedRegister> DecidedHistory::laterThan(const RegisterId& id) const {
@@ -72,7 +71,7 @@
   if (name == names_.end() || id.item.kind == ItemKind::voters) return std::nullopt;
   const auto& latest = name->second.back();
   if (latest.version <= id.version) return std::nullopt;
-  return DecidedRegister{{id.item, latest.version}, latest.print};
+  return DecidedRegister{{id.item, latest.version}, latest.hash};
 }
 
 std::vector<DecidedRegister> DecidedHistory::laterThan(const std::vector<Item>& items) const {
@@ -86,7 +85,7 @@
 std::vector<DecidedRegister> DecidedHistory::all() const {
   std::vector<DecidedRegister> registers;
   for (const auto& [name, versions] : names_) {
-    for (const auto& entry : versions) registers.push_back({{name, entry.version}, entry.print});
+    for (const auto& entry : versions) registers.push_back({{name, entry.version}, entry.hash});
   }
   return registers;
 }
--- a/src/mesh/control/decided_history.hpp
+++ b/src/mesh/control/decided_history.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Which registers are decided, and the prints of their values: the last versions of each name. It owns them
-// and decides nothing; it must never go back on a decision.
+// History of decided registers with the hashes of their values, limited to the latest versions of each
+// item name. A recorded decision is never replaced by another value.
 
 #include <map>
 #include <optional>
@@ -15,35 +15,35 @@
 
 namespace rackroute::mesh {
 
-/// What is known of a register, from the view of one value for it.
+/// State of a register with respect to a given value.
 enum class RegisterState {
-  open,       // not known to be decided
-  same,       // decided with that value
-  other,      // decided with another
-  forgotten,  // so old that what was decided is not remembered; a value for it has no effect
+  open,        // not known to be decided
+  sameValue,   // decided with the given value
+  otherValue,  // decided with another value
+  expired,     // decided, but no longer in the history; proposing a value has no effect
 };
 
 class DecidedHistory {
  public:
-  /// False: the entry is none of its own.
+  /// Returns false if the key does not belong to the history.
   bool restore(const std::string& key, const std::string& value);
-  /// Sets of voters up to that epoch are decided, whether or not their prints are known.
-  void votersDecidedTo(Epoch epoch) { votersDecidedTo_ = epoch; }
-  /// True: it was not known.
-  bool record(const RegisterId& id, std::uint64_t print);
-  /// The entries of the names that changed since the last call.
+  /// Marks all voter sets up to that epoch as decided, even where their hashes are unknown.
+  void setVotersDecidedUpTo(Epoch epoch) { votersDecidedUpTo_ = epoch; }
+  /// Returns true if the decision was not known before.
+  bool record(const RegisterId& id, std::uint64_t hash);
+  /// Appends store entries for the names that changed since the last call.
   void writeChanges(Effects& effects);
 
-  [[nodiscard]] RegisterState stateOf(const RegisterId& id, std::uint64_t print) const;
+  [[nodiscard]] RegisterState stateOf(const RegisterId& id, std::uint64_t hash) const;
   [[nodiscard]] RegisterState stateOf(const Item& item) const {
     return stateOf(registerOf(item), item.print);
   }
-  /// Nothing, if the register is open.
+  /// Returns nothing if the register is not known to be decided.
   [[nodiscard]] std::optional<DecidedRegister> find(const RegisterId& id) const;
-  /// The latest version of an item that is decided, if it is later than that of the register. Sets of voters
-  /// have none: their epochs tell.
+  /// Returns the latest decided version of the register's item, if it is later than the register's. Always
+  /// nothing for voter sets, as their epochs already order them.
   [[nodiscard]] std::optional<DecidedRegister> laterThan(const RegisterId& id) const;
-  /// The same, for all registers of the items.
+  /// The latest decided versions that are later than those of the given items.
   [[nodiscard]] std::vector<DecidedRegister> laterThan(const std::vector<Item>& items) const;
   [[nodiscard]] std::vector<DecidedRegister> all() const;
 
@@ -52,7 +52,7 @@
 
   std::map<ItemKey, Versions> names_;
   std::set<ItemKey> changed_;
-  Epoch votersDecidedTo_;
+  Epoch votersDecidedUpTo_;
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/durable_writes.cpp
+++ b/src/mesh/control/durable_writes.cpp
@@ -6,10 +6,10 @@
 namespace rackroute::mesh {
 namespace {
 
-constexpr Span kRetryPause = std::chrono::milliseconds(250);  // as long as the store pauses after a refusal
-// Some minutes of promises at full load: a disk that refuses or hangs for longer must not eat the memory.
-constexpr std::size_t kMostPendingBytes = 16 * 1024 * 1024;
-constexpr std::size_t kMostPendingBatches = 50'000;  // small ones cost more than their bytes
+constexpr Span kRetryInterval = std::chrono::milliseconds(250);  // the store pauses as long after a failure
+// Bounds memory when the disk fails or hangs for a long time. Holds several minutes of promises at full load.
+constexpr std::size_t kMaxPendingBytes = 16 * 1024 * 1024;
+constexpr std::size_t kMaxPendingBatches = 50'000;  // small batches cost more than their bytes
 
 std::size_t sizeOf(const std::string& key, const std::optional<std::string>& value) {
   return key.size() + (value ? value->size() : 0);
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-std::uint64_t PendingWrites::begin(const std::vector<StoreEntry>& entries) {
-  const std::uint64_t number = ++last_;
+std::uint64_t PendingWrites::submit(const std::vector<StoreEntry>& entries) {
+  const std::uint64_t number = ++lastBatch_;
   for (const auto& [name, value] : entries) {
     Key& key = keys_[name];
     ++key.inFlight;
@@ -28,70 +28,71 @@
   return number;
 }
 
-std::vector<std::uint64_t> PendingWrites::written(std::uint64_t batch, bool done) {
-  // Guards against word of a batch that was never submitted, or out of order: nothing follows from it.
+std::vector<std::uint64_t> PendingWrites::completed(std::uint64_t batch, bool succeeded) {
+  // Results must arrive in submission order; any other result is ignored.
   assert(!inFlight_.empty() && inFlight_.front().number == batch);
   if (inFlight_.empty() || inFlight_.front().number != batch) return {};
-  const WriteBatch told = std::move(inFlight_.front());
+  const WriteBatch finished = std::move(inFlight_.front());
   inFlight_.pop_front();
-  for (const StoreEntry& entry : told.entries) settle(entry, batch, done);
-  if (done) written_.push_back(batch);
-  return takeDurable();
+  for (const StoreEntry& entry : finished.entries) applyResult(entry, batch, succeeded);
+  if (succeeded) writtenBatches_.push_back(batch);
+  return takeDurableBatches();
 }
 
-// Entries settle in the order in which they were submitted, so the last word of a key is the latest.
-void PendingWrites::settle(const StoreEntry& entry, std::uint64_t batch, bool done) {
+// Results arrive in submission order, so the last one for a key is for its latest entry.
+void PendingWrites::applyResult(const StoreEntry& entry, std::uint64_t batch, bool succeeded) {
   const auto found = keys_.find(entry.first);
   Key& key = found->second;
   --key.inFlight;
   bytes_ -= sizeOf(entry.first, entry.second);
-  const std::uint64_t refusedFirst = key.refusedIn == 0 ? batch : key.refusedIn;
-  forgetRefusal(entry.first, key);
-  if (!done) {
-    key.refusedIn = refusedFirst;
-    key.refused = entry.second;
-    ++refusedIn_[refusedFirst];
-    refusedKeys_.insert(entry.first);
+  const std::uint64_t firstFailure = key.failedIn == 0 ? batch : key.failedIn;
+  clearFailure(entry.first, key);
+  if (!succeeded) {
+    key.failedIn = firstFailure;
+    key.failedValue = entry.second;
+    ++failedKeysByBatch_[firstFailure];
+    failedKeys_.insert(entry.first);
     bytes_ += sizeOf(entry.first, entry.second);
   } else if (key.inFlight == 0) {
     keys_.erase(found);
   }
 }
 
-void PendingWrites::forgetRefusal(const std::string& name, Key& key) {
-  if (key.refusedIn == 0) return;
-  const auto count = refusedIn_.find(key.refusedIn);
-  if (--count->second == 0) refusedIn_.erase(count);
-  bytes_ -= sizeOf(name, key.refused);
-  refusedKeys_.erase(name);
-  key.refusedIn = 0;
-  key.refused.reset();
+void PendingWrites::clearFailure(const std::string& name, Key& key) {
+  if (key.failedIn == 0) return;
+  const auto count = failedKeysByBatch_.find(key.failedIn);
+  if (--count->second == 0) failedKeysByBatch_.erase(count);
+  bytes_ -= sizeOf(name, key.failedValue);
+  failedKeys_.erase(name);
+  key.failedIn = 0;
+  key.failedValue.reset();
 }
 
-// Guards against a batch that is told of as durable while one before it is not, as what it holds may rest on
-// that: votes of an epoch whose set is not on disk yet.
-std::vector<std::uint64_t> PendingWrites::takeDurable() {
+// A batch is not reported as durable before all earlier ones are, because its contents may depend on them:
+// for example, votes of an epoch whose voter set is not on disk yet.
+std::vector<std::uint64_t> PendingWrites::takeDurableBatches() {
   std::vector<std::uint64_t> durable;
-  while (!written_.empty() && (refusedIn_.empty() || written_.front() < refusedIn_.begin()->first)) {
-    durable.push_back(written_.front());
-    written_.pop_front();
+  while (!writtenBatches_.empty() &&
+         (failedKeysByBatch_.empty() || writtenBatches_.front() < failedKeysByBatch_.begin()->first)) {
+    durable.push_back(writtenBatches_.front());
+    writtenBatches_.pop_front();
   }
   return durable;
 }
 
 std::optional<WriteBatch> PendingWrites::retry(Span now) {
-  if (refusedKeys_.empty() || now < nextRetry_) return std::nullopt;
-  WriteBatch again;
-  for (const std::string& name : refusedKeys_) {
+  if (failedKeys_.empty() || now < nextRetry_) return std::nullopt;
+  WriteBatch batch;
+  for (const std::string& name : failedKeys_) {
     const Key& key = keys_.at(name);
-    // Guards against an older entry that goes over a newer one, and against half of what belongs together:
-    // the word of the newer one, or of the last retry, comes first.
+    // A retry must not overwrite a newer entry that is in flight, nor split entries that belong together, so
+    // it waits for the results of all of them.
     if (key.inFlight > 0) return std::nullopt;
-    again.entries.emplace_back(name, key.refused);
+    batch.entries.emplace_back(name, key.failedValue);
   }
-  nextRetry_ = now + kRetryPause;
-  again.number = begin(again.entries);
-  return again;
+  nextRetry_ = now + kRetryInterval;
+  batch.number = submit(batch.entries);
+  return batch;
 }
 
 std::vector<std::string> PendingWrites::pendingKeys() const {
@@ -101,7 +102,7 @@
 }
 
 bool PendingWrites::full() const {
-  return bytes_ >= kMostPendingBytes || inFlight_.size() + written_.size() >= kMostPendingBatches;
+  return bytes_ >= kMaxPendingBytes || inFlight_.size() + writtenBatches_.size() >= kMaxPendingBatches;
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/majority_read.hpp
+++ b/src/mesh/control/majority_read.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-// Reads of a majority: makes sure that the items held here are no older than what any majority had decided
-// when the read began. Each voter that answers tells the digest of its items, and the orders that it accepted
-// and does not know to be decided; items that differ are fetched, and such orders are brought to a decision
-// first. Reads asked for while one is under way share the next one. A state machine without I/O or clock.
+// Majority reads: ensure that the local items are at least as recent as everything that any majority had
+// decided when the read began. Each voter reports the digest of its items and the orders that it has accepted
+// and does not know to be decided. Differing items are fetched, and reported orders are brought to a decision
+// first. Requests that arrive during a read share the next one. A state machine without I/O or a clock.
 
 #include <cstdint>
 #include <optional>
@@ -19,42 +19,43 @@
 
 class MajorityRead {
  public:
-  /// Both must outlive it.
+  /// `items` and `agreement` must outlive this object.
   MajorityRead(const Items& items, Agreement& agreement) : items_(items), agreement_(agreement) {}
 
-  /// The read that will answer who asks now; it is over once `finished` tells its number or a higher one.
-  std::uint64_t join(Span now, const VoterSet& set, Effects& effects);
-  /// Another set: the read under way begins anew in it.
-  void voters(Span now, const VoterSet& set, Effects& effects);
-  /// A voter is reached again: what was asked of it, or what it answered, may have been lost with its
-  /// session.
-  void reached(Span now, Effects& effects);
-  void heard(Span now, const ReadReply& reply, Effects& effects);
-  /// The last of the items that were asked of it have been merged.
-  void fetched(const Address& from, std::uint64_t read);
-  /// The highest read that is over.
-  [[nodiscard]] std::uint64_t finished() const { return finished_; }
-  /// Looks whether the read under way is over, begins the next one, asks again where nobody answered. To be
-  /// called after each input that may matter, and at each tick.
+  /// Returns the number of the read that serves a request made now. The read is complete once lastCompleted()
+  /// returns that number or a higher one.
+  std::uint64_t request(Span now, const VoterSet& set, Effects& effects);
+  /// Installs a voter set; the read in progress restarts in it.
+  void setVoters(Span now, const VoterSet& set, Effects& effects);
+  /// Repeats the requests after a voter's session was re-established, as messages may have been lost with the
+  /// old one.
+  void voterReconnected(Span now, Effects& effects);
+  void handle(Span now, const ReadReply& reply, Effects& effects);
+  /// All items requested from the voter for this read have been merged.
+  void itemsMerged(const Address& from, std::uint64_t read);
+  /// Number of the latest completed read.
+  [[nodiscard]] std::uint64_t lastCompleted() const { return lastCompleted_; }
+  /// Completes the read in progress if possible, starts the next one, and repeats requests that were not
+  /// answered. Must be called after each relevant input and at each tick.
   void advance(Span now, Effects& effects);
 
  private:
-  void begin(Span now, Effects& effects);
-  void beginCount();
-  void ask(Span now, Effects& effects);
+  void start(Span now, Effects& effects);
+  void resetProgress();
+  void sendRequest(Span now, Effects& effects);
 
   const Items& items_;
   Agreement& agreement_;
   VoterSet set_;
-  std::uint64_t last_ = 0;     // handed out
-  std::uint64_t running_ = 0;  // 0: none
-  std::uint64_t finished_ = 0;
-  bool wanted_ = false;  // somebody waits for the next one
-  Span askedAt_{};
-  Span askAgain_{};                      // from one time that all are asked to the next
-  std::set<Address> fetching_;           // voters that were asked for what is newer there
-  std::optional<VoteCount> count_;       // voters whose items are held here
-  std::vector<AcceptedOrder> accepted_;  // to be decided before the read is over
+  std::uint64_t lastStarted_ = 0;  // number of the last read that was started
+  std::uint64_t current_ = 0;      // 0 if none is in progress
+  std::uint64_t lastCompleted_ = 0;
+  bool nextRequested_ = false;  // a request waits for the next read
+  Span requestedAt_{};
+  Span retryInterval_{};                 // time between repeated requests
+  std::set<Address> fetching_;           // voters from which newer items were requested
+  std::optional<VoteCount> upToDate_;    // voters whose items are known to be merged here
+  std::vector<AcceptedOrder> accepted_;  // must be decided before the read completes
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/membership.cpp
+++ b/src/mesh/control/membership.cpp
@@ -9,91 +9,92 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kFoundersWait = 2s;       // for the last founders, as all processes start at about one time
-constexpr Span kSilentTooLong = 1200ms;  // a voter without a session; four heartbeats' time
-constexpr Span kSettledStandby = 10s;    // up, before it is added to a set that lacks nobody
-constexpr Span kGone = 60s;              // silent, with nobody to take its place
-constexpr Span kProposalPause =
-    500ms;  // before the same set is proposed again; a ballot takes a few round trips
-/// Between the processes that would propose the same, so that the first one's ballot is not disturbed.
-constexpr Span kRankStep = 600ms;
-constexpr std::size_t kMostVoters = 12;   // more cost time in every vote and bear no more losses that matter
-constexpr std::size_t kFewestVoters = 3;  // that a set shrinks to: two bear no loss
-constexpr std::size_t kMostPeers = 64;    // besides the set's voters
-constexpr Span kForgetPeer = 60s;         // down, and in no set
+constexpr Span kFounderTimeout = 2s;            // time to wait for missing founders at the first start
+constexpr Span kVoterTimeout = 1200ms;          // four heartbeats without a session
+constexpr Span kStandbyStablePeriod = 10s;      // uptime before a standby is added to a complete set
+constexpr Span kRemovalTimeout = 60s;           // before a voter is removed without a replacement
+constexpr Span kProposalRetryInterval = 500ms;  // a ballot takes a few round trips
+/// Delay per rank between processes that would propose the same set, so that they do not disrupt each other's
+/// ballots.
+constexpr Span kProposalStagger = 600ms;
+constexpr std::size_t kMaxVoters = 12;  // limits the cost of a vote
+constexpr std::size_t kMinVoters = 3;   // a set of two tolerates no failure
+constexpr std::size_t kMaxPeers = 64;   // in addition to the voters
+constexpr Span kPeerRetention = 60s;    // for peers that are down and not in the set
 
 }  // namespace
 
-Membership::Membership(Built built) : self_(std::move(built.self)) {
-  set_.foundingSize = std::max<std::size_t>(1, built.foundingSize);
-  if (built.founder) knowFounder(self_);
+Membership::Membership(Config config) : self_(std::move(config.self)) {
+  set_.foundingSize = std::max<std::size_t>(1, config.foundingSize);
+  if (config.founder) addFounder(self_);
 }
 
-void Membership::began(Span now) {
-  if (!start_) start_ = now;
+void Membership::recordStart(Span now) {
+  if (!startedAt_) startedAt_ = now;
 }
 
-// --- what happens
+// --- events
 
 bool Membership::adopt(Span now, const VoterSet& set) {
-  began(now);
+  recordStart(now);
   if (set.epoch <= set_.epoch) return false;
   for (auto& [at, peer] : peers_)
-    peer.putOut = (peer.putOut || set_.contains(peer.id)) && !set.contains(peer.id);
-  const bool missedOne = set.epoch.value > set_.epoch.value + 1;
+    peer.removed = (peer.removed || set_.contains(peer.id)) && !set.contains(peer.id);
+  const bool missedEpoch = set.epoch.value > set_.epoch.value + 1;
   set_ = set;
-  wanted_.reset();
+  desired_.reset();
   for (const VoterId& voter : set_.voters) {
     if (voter == self_) continue;
-    // One that was never heard of counts as silent since now, at the start of this process if that is when
-    // its set is read.
+    // A voter that has never connected counts as down since now, which is the start of this process if the
+    // set is read from the store.
     Peer& peer = peers_.try_emplace(voter.at, Peer{voter, false, false, false, false, now}).first->second;
     if (set_.mustRead(voter)) peer.holdsState = false;
   }
   if (isVoter()) wasVoter_ = true;
-  // Guards against a voter that was away while all had to read: later sets don't name it as a reader again.
-  if (missedOne || set_.mustRead(self_)) holdsState_ = false;
+  // A voter that missed an epoch in which all voters had to read is not listed as a reader again in later
+  // sets, so it must read now.
+  if (missedEpoch || set_.mustRead(self_)) holdsState_ = false;
   return true;
 }
 
-bool Membership::votedOut() const { return wasVoter_ && !isVoter(); }
+bool Membership::wasRemoved() const { return wasVoter_ && !isVoter(); }
 
 void Membership::reincarnate(const VoterId& self) {
   self_ = self;
   wasVoter_ = false;
   holdsState_ = false;
-  wanted_.reset();
+  desired_.reset();
 }
 
 void Membership::peerUp(Span now, const VoterId& peer, bool founder, bool holdsState) {
-  began(now);
+  recordStart(now);
   if (peer.at == self_.at) return;
-  forgetGone(now);
+  evictStalePeers(now);
   auto known = peers_.find(peer.at);
   if (known == peers_.end()) {
-    // Guards against peers without number: this one waits until another is forgotten.
-    if (peers_.size() >= kMostPeers) return;
+    // Bounds memory: further peers are ignored until one is evicted.
+    if (peers_.size() >= kMaxPeers) return;
     known = peers_.try_emplace(peer.at, Peer{peer, false, founder, false, false, now}).first;
   }
-  Peer& held = known->second;
-  const bool sameLife = held.id == peer;
-  const bool holds = holdsState && (!set_.mustRead(peer) || (sameLife && held.holdsState));
-  const Span since = sameLife && held.up ? held.since : now;
-  held = {peer, true, founder, holds, sameLife && held.putOut, since};
-  if (founder) knowFounder(peer);
+  Peer& entry = known->second;
+  const bool sameIncarnation = entry.id == peer;
+  const bool holds = holdsState && (!set_.mustRead(peer) || (sameIncarnation && entry.holdsState));
+  const Span since = sameIncarnation && entry.up ? entry.since : now;
+  entry = {peer, true, founder, holds, sameIncarnation && entry.removed, since};
+  if (founder) addFounder(peer);
 }
 
-void Membership::knowFounder(const VoterId& founder) {
+void Membership::addFounder(const VoterId& founder) {
   if (set_.epoch.value != 0) return;
   std::vector<VoterId>& founders = set_.voters;
   std::erase_if(founders, [&](const VoterId& known) { return known.at == founder.at; });
-  // Guards against more founders than settings tell of: a majority is counted of that many.
+  // The majority is computed from foundingSize, so no more founders are accepted.
   if (founders.size() >= set_.foundingSize) return;
   founders.insert(std::upper_bound(founders.begin(), founders.end(), founder), founder);
 }
 
 void Membership::peerDown(Span now, const Address& at) {
-  began(now);
+  recordStart(now);
   const auto peer = peers_.find(at);
   if (peer == peers_.end() || !peer->second.up) return;
   peer->second.up = false;
@@ -105,19 +106,19 @@
   if (known == peers_.end() || known->second.id != id) return;
   Peer& peer = known->second;
   peer.holdsState = holdsState;
-  // It has the set in force and keeps its incarnation, so it never knew of the set that it was put out of and
-  // never voted in it: it may join as it is. Guards against a standby that nobody ever takes in again.
-  peer.putOut = false;
+  // The peer has the current set and kept its incarnation, so it never learned of the set that removed it and
+  // never voted in it; it may rejoin under its identity.
+  peer.removed = false;
 }
 
-void Membership::forgetGone(Span now) {
+void Membership::evictStalePeers(Span now) {
   std::erase_if(peers_, [&](const auto& known) {
     const Peer& peer = known.second;
-    return !peer.up && set_.find(peer.id.at) == nullptr && peer.since + kForgetPeer <= now;
+    return !peer.up && set_.find(peer.id.at) == nullptr && peer.since + kPeerRetention <= now;
   });
 }
 
-// --- what is known
+// --- queries
 
 std::vector<VoterId> Membership::peers() const {
   std::vector<VoterId> up;
@@ -133,183 +134,184 @@
   return peer != peers_.end() && peer->second.up && peer->second.id == voter;
 }
 
-bool Membership::knownToHoldState(const VoterId& voter) const {
+bool Membership::isKnownToHoldState(const VoterId& voter) const {
   if (voter == self_) return holdsState_;
   const auto peer = peers_.find(voter.at);
   return peer != peers_.end() && peer->second.id == voter && peer->second.holdsState;
 }
 
-std::vector<VoterId> Membership::ableVoters() const {
-  std::vector<VoterId> able;
+std::vector<VoterId> Membership::availableVoters() const {
+  std::vector<VoterId> available;
   for (const VoterId& voter : set_.voters) {
-    if (isUp(voter) && knownToHoldState(voter)) able.push_back(voter);
+    if (isUp(voter) && isKnownToHoldState(voter)) available.push_back(voter);
   }
-  return able;
+  return available;
 }
 
-bool Membership::silentFor(Span now, const VoterId& voter, Span time) const {
+bool Membership::isDownFor(Span now, const VoterId& voter, Span time) const {
   if (isUp(voter)) return false;
   const auto peer = peers_.find(voter.at);
-  const Span since = peer == peers_.end() ? *start_ : peer->second.since;
+  const Span since = peer == peers_.end() ? *startedAt_ : peer->second.since;
   return since + time <= now;
 }
 
-/// Readers that stay have read. One that is silent is not waited for, as it may never come back; when it
-/// does, it reads in the set then in force.
-bool Membership::readersDone(Span now, const VoterId* leaves) const {
+/// Whether all readers that stay have completed reading. Readers that are down are not waited for, as they
+/// may never return; a returning one reads in the set that is current by then.
+bool Membership::readersComplete(Span now, const VoterId* leaving) const {
   return std::all_of(set_.readers.begin(), set_.readers.end(), [&](const VoterId& reader) {
-    const bool isLeaving = leaves != nullptr && reader == *leaves;
-    return isLeaving || knownToHoldState(reader) || silentFor(now, reader, kSilentTooLong);
+    const bool excluded = leaving != nullptr && reader == *leaving;
+    return excluded || isKnownToHoldState(reader) || isDownFor(now, reader, kVoterTimeout);
   });
 }
 
-/// A majority of the set in force is there without the one that leaves: it agrees on the next set, and who
-/// joins reads from it.
-bool Membership::enoughAble(const VoterId* leaves) const {
-  const std::vector<VoterId> able = ableVoters();
-  const auto staying = std::count_if(
-      able.begin(), able.end(), [&](const VoterId& voter) { return leaves == nullptr || voter != *leaves; });
+/// Whether a majority of the current set is available without the leaving voter: it has to agree on the next
+/// set, and a joining voter reads from it.
+bool Membership::quorumAvailable(const VoterId* leaving) const {
+  const std::vector<VoterId> available = availableVoters();
+  const auto staying = std::count_if(available.begin(), available.end(), [&](const VoterId& voter) {
+    return leaving == nullptr || voter != *leaving;
+  });
   return static_cast<std::size_t>(staying) >= set_.quorum();
 }
 
-std::optional<VoterId> Membership::standby(Span now, Span upFor) const {
+std::optional<VoterId> Membership::standby(Span now, Span minUptime) const {
   for (const auto& [at, peer] : peers_) {
-    if (peer.up && !peer.putOut && set_.find(at) == nullptr && peer.since + upFor <= now) return peer.id;
+    if (peer.up && !peer.removed && set_.find(at) == nullptr && peer.since + minUptime <= now) return peer.id;
   }
   return std::nullopt;
 }
 
-// --- what is proposed
+// --- proposals
 
 std::optional<VoterSet> Membership::proposal(Span now) {
-  began(now);
-  forgetGone(now);
-  std::optional<VoterSet> wants = wanted(now);
-  if (wants != wanted_) {
-    wanted_ = std::move(wants);
-    wantedSince_ = now;
+  recordStart(now);
+  evictStalePeers(now);
+  std::optional<VoterSet> desired = desiredSet(now);
+  if (desired != desired_) {
+    desired_ = std::move(desired);
+    desiredSince_ = now;
     proposedAt_.reset();
   }
-  if (!wanted_ || now < wantedSince_ + rankDelay()) return std::nullopt;
-  if (proposedAt_ && now < *proposedAt_ + kProposalPause) return std::nullopt;
+  if (!desired_ || now < desiredSince_ + rankDelay()) return std::nullopt;
+  if (proposedAt_ && now < *proposedAt_ + kProposalRetryInterval) return std::nullopt;
   proposedAt_ = now;
-  return wanted_;
+  return desired_;
 }
 
-/// By the place of this process among those that may propose.
+/// Delay by the rank of this process among those that may propose.
 Span Membership::rankDelay() const {
   std::int64_t rank = 0;
   for (const VoterId& voter : set_.voters) {
-    const bool able = isUp(voter) && (set_.epoch.value == 0 || knownToHoldState(voter));
-    if (able && voter.at < self_.at) ++rank;
+    const bool available = isUp(voter) && (set_.epoch.value == 0 || isKnownToHoldState(voter));
+    if (available && voter.at < self_.at) ++rank;
   }
-  return rank * kRankStep;
+  return rank * kProposalStagger;
 }
 
-std::optional<VoterSet> Membership::wanted(Span now) const {
+std::optional<VoterSet> Membership::desiredSet(Span now) const {
   if (!isVoter()) return std::nullopt;
-  if (set_.epoch.value == 0) return founding(now);
+  if (set_.epoch.value == 0) return foundingProposal(now);
   if (!holdsState_) return std::nullopt;
-  if (auto next = replacementOfWiped(now)) return next;
-  if (auto next = replacementOfSilent(now)) return next;
-  if (auto next = growth(now)) return next;
+  if (auto next = replacementOfLost(now)) return next;
+  if (auto next = replacementOfDown(now)) return next;
+  if (auto next = expansion(now)) return next;
   return shrinkage(now);
 }
 
-std::optional<VoterSet> Membership::founding(Span now) const {
+std::optional<VoterSet> Membership::foundingProposal(Span now) const {
   std::vector<VoterId> up;
   for (const VoterId& founder : set_.voters) {
     if (isUp(founder)) up.push_back(founder);
   }
   const bool all = up.size() == set_.foundingSize;
-  if (!all && (now < *start_ + kFoundersWait || up.size() < set_.quorum())) return std::nullopt;
-  return foundedWith(std::move(up));
+  if (!all && (now < *startedAt_ + kFounderTimeout || up.size() < set_.quorum())) return std::nullopt;
+  return foundingSet(std::move(up));
 }
 
-VoterSet Membership::foundedWith(std::vector<VoterId> founders) const {
-  VoterSet founded;
-  founded.epoch = {1};
-  founded.voters = std::move(founders);
-  founded.previousSize = set_.foundingSize;
-  // Stores of the format before epochs hold promises that any majority of all founders made. Where a majority
-  // of fewer founders might know none of those who made one, they read from each other first.
-  const bool overlaps = founded.quorum() + founded.readQuorum() > set_.foundingSize;
-  if (!overlaps) founded.readers = founded.voters;
-  return founded;
+VoterSet Membership::foundingSet(std::vector<VoterId> founders) const {
+  VoterSet first;
+  first.epoch = {1};
+  first.voters = std::move(founders);
+  first.previousSize = set_.foundingSize;
+  // Stores written before epochs existed hold promises granted by any majority of all founders. If a majority
+  // of fewer founders need not include any of those that granted a promise, the founders must first read from
+  // each other.
+  const bool overlaps = first.quorum() + first.readQuorum() > set_.foundingSize;
+  if (!overlaps) first.readers = first.voters;
+  return first;
 }
 
-/// A process has a voter's address and another incarnation: that voter's disk is lost, and it won't come
-/// back.
-std::optional<VoterSet> Membership::replacementOfWiped(Span now) const {
+/// Replaces a voter whose address is used by another incarnation: its disk is lost, and it will not return.
+std::optional<VoterSet> Membership::replacementOfLost(Span now) const {
   for (const VoterId& voter : set_.voters) {
-    if (!isGone(voter)) continue;
+    if (!isPermanentlyLost(voter)) continue;
     const auto peer = peers_.find(voter.at);
-    if (peer->second.putOut) continue;
-    if (!readersDone(now, &voter) || !enoughAble(&voter)) continue;
+    if (peer->second.removed) continue;
+    if (!readersComplete(now, &voter) || !quorumAvailable(&voter)) continue;
     return withReplacement(set_, voter, peer->second.id);
   }
   return std::nullopt;
 }
 
-std::optional<VoterSet> Membership::replacementOfSilent(Span now) const {
-  const auto joins = standby(now, Span{0});
-  if (!joins) return std::nullopt;
+std::optional<VoterSet> Membership::replacementOfDown(Span now) const {
+  const auto joining = standby(now, Span{0});
+  if (!joining) return std::nullopt;
   for (const VoterId& voter : set_.voters) {
-    if (!silentFor(now, voter, kSilentTooLong)) continue;
-    if (!readersDone(now, &voter) || !enoughAble(&voter)) continue;
-    return withReplacement(set_, voter, *joins);
+    if (!isDownFor(now, voter, kVoterTimeout)) continue;
+    if (!readersComplete(now, &voter) || !quorumAvailable(&voter)) continue;
+    return withReplacement(set_, voter, *joining);
   }
   return std::nullopt;
 }
 
-std::optional<VoterSet> Membership::growth(Span now) const {
+std::optional<VoterSet> Membership::expansion(Span now) const {
   const bool allUp =
       std::all_of(set_.voters.begin(), set_.voters.end(), [&](const VoterId& voter) { return isUp(voter); });
-  if (!allUp || set_.voters.size() >= kMostVoters || !readersDone(now, nullptr)) return std::nullopt;
-  const auto joins = standby(now, kSettledStandby);
-  if (!joins || !enoughAble(nullptr)) return std::nullopt;
-  return withVoter(set_, *joins);
+  if (!allUp || set_.voters.size() >= kMaxVoters || !readersComplete(now, nullptr)) return std::nullopt;
+  const auto joining = standby(now, kStandbyStablePeriod);
+  if (!joining || !quorumAvailable(nullptr)) return std::nullopt;
+  return withVoter(set_, *joining);
 }
 
 std::optional<VoterSet> Membership::shrinkage(Span now) const {
-  if (set_.voters.size() <= kFewestVoters || standby(now, Span{0})) return std::nullopt;
+  if (set_.voters.size() <= kMinVoters || standby(now, Span{0})) return std::nullopt;
   for (const VoterId& voter : set_.voters) {
-    if (!silentFor(now, voter, kGone)) continue;
-    if (!readersDone(now, &voter) || !enoughAble(&voter)) continue;
+    if (!isDownFor(now, voter, kRemovalTimeout)) continue;
+    if (!readersComplete(now, &voter) || !quorumAvailable(&voter)) continue;
     return withoutVoter(set_, voter);
   }
   return std::nullopt;
 }
 
-// --- what is accepted
+// --- acceptance
 
-bool Membership::isNext(const VoterSet& proposed) const {
+bool Membership::isValidSuccessor(const VoterSet& proposed) const {
   if (set_.epoch.value > 0) return isSingleStep(set_, proposed);
   const std::size_t size = proposed.voters.size();
-  return size >= set_.quorum() && size <= set_.foundingSize && proposed == foundedWith(proposed.voters);
+  return size >= set_.quorum() && size <= set_.foundingSize && proposed == foundingSet(proposed.voters);
 }
 
-bool Membership::isGone(const VoterId& voter) const {
+bool Membership::isPermanentlyLost(const VoterId& voter) const {
   const auto peer = peers_.find(voter.at);
   return peer != peers_.end() && peer->second.up && peer->second.id != voter;
 }
 
 bool Membership::acceptable(Span, const VoterSet& proposed, bool mayBeDecided) const {
-  if (!isNext(proposed)) return false;
-  // Guards against a set that some have accepted for a process which is another by now, as its disk was lost
-  // again: refused for good by the others, it would keep every later set from being agreed on.
+  if (!isValidSuccessor(proposed)) return false;
+  // If some voters accepted this set and the joining process has since lost its disk and changed its
+  // incarnation, a refusal by the others would block every later set.
   if (mayBeDecided) return true;
-  // Guards against a proposer that reaches the earlier life of a process only.
+  // The proposer may have a connection only to an earlier incarnation of a process.
   for (const VoterId& voter : proposed.voters) {
-    if (isGone(voter) && !set_.contains(voter)) return false;
+    if (isPermanentlyLost(voter) && !set_.contains(voter)) return false;
   }
   if (set_.epoch.value == 0) return true;
   for (const VoterId& voter : set_.voters) {
     const bool stays = proposed.contains(voter);
-    // Guards against a proposer that alone does not hear a voter.
+    // The proposer may be the only process that has lost the connection to a voter.
     if (!stays && isUp(voter)) return false;
-    // Guards against a set whose readers could no longer find a majority to read from.
-    if (stays && set_.mustRead(voter) && isUp(voter) && !knownToHoldState(voter)) return false;
+    // Otherwise the readers of the current set could lose the majority they have to read from.
+    if (stays && set_.mustRead(voter) && isUp(voter) && !isKnownToHoldState(voter)) return false;
   }
   return true;
 }
--- a/src/mesh/control/membership.hpp
+++ b/src/mesh/control/membership.hpp
@@ -1,11 +1,12 @@
 #pragma once
 
-// Who votes: proposes the next set of voters when one is missing, was replaced, or may be added, and follows
-// the sets that are agreed on. A set is agreed on like any item, as "voters" with the epoch as its version,
-// so by a majority of the set before; and it becomes effective for a reader of it only once that one has read
-// from a majority of the fenced set before. It owns the set in force and what is known of the other control
-// processes; a state machine without I/O or clock. It must never propose a set that is not one step from the
-// one in force.
+// Membership of the voter set: proposes the next set when a voter is down, was replaced or can be added, and
+// adopts the sets that are agreed on. A set is decided like any item, as "voters" with its epoch as the
+// version, by a majority of the previous set. A reader of the new set votes in it only after it has read from
+// a majority of the fenced previous set. Holds the current set and what is known about the other control
+// processes; a state machine without I/O or a clock.
+//
+// A proposed set must always be a single step away from the current one.
 
 #include <cstdint>
 #include <map>
@@ -19,47 +20,52 @@
 
 class Membership {
  public:
-  struct Built {
+  struct Config {
     VoterId self;
-    bool founder = false;  // of a system that starts for the first time, or whose store is of before epochs
-    std::size_t foundingSize = 1;  // control processes that the first start has, as settings tell
+    bool founder = false;          // this process belongs to a new system, or its store predates epochs
+    std::size_t foundingSize = 1;  // number of control processes in the initial configuration
   };
-  explicit Membership(Built built);
+  explicit Membership(Config config);
 
   [[nodiscard]] const VoterSet& set() const { return set_; }
   [[nodiscard]] bool isVoter() const { return set_.contains(self_); }
   [[nodiscard]] const VoterId& self() const { return self_; }
-  /// A set that was agreed on, from the store or from whoever told it. False: it is not newer than the one
-  /// held. Afterwards this process no longer holds state if it must read in that set, or if it missed a set
-  /// between, in which it may have had to read; what was told of readers holding state counts no more either.
+  /// Adopts a set that was agreed on, from the store or from another process. Returns false if it is not
+  /// newer than the current one. Afterwards, this process no longer holds complete state if it must read in
+  /// the new set, or if it missed a set in which it may have had to read. What readers reported about their
+  /// state in earlier sets is discarded.
   bool adopt(Span now, const VoterSet& set);
-  /// This process was a voter of an earlier set and is none of this one: it must take another incarnation.
-  [[nodiscard]] bool votedOut() const;
-  /// It takes that one.
+  /// Whether this process was a voter of an earlier set and is not in the current one; it must then take a
+  /// new incarnation.
+  [[nodiscard]] bool wasRemoved() const;
+  /// Takes a new incarnation.
   void reincarnate(const VoterId& self);
 
-  /// A session with another control process stands, or no longer does. Whether a reader of the set in force
-  /// holds state is learned from peerHoldsState() only, as a session's first message tells no epoch.
+  /// A session with another control process was established or ended. For a reader of the current set,
+  /// complete state is learned from peerHoldsState() only, because the first message of a session carries no
+  /// epoch.
   void peerUp(Span now, const VoterId& peer, bool founder, bool holdsState);
   void peerDown(Span now, const Address& peer);
-  /// To be passed on only if the peer told it in the epoch in force here and under this incarnation: a
-  /// process that takes another one must begin its sessions anew before it tells anything.
+  /// A peer reported whether it holds complete state. Must be called only for reports made in the current
+  /// epoch and under this incarnation; a process that takes a new incarnation must first re-establish its
+  /// sessions.
   void peerHoldsState(Span now, const VoterId& peer, bool holdsState);
-  /// Of this process: nothing it promised is lost, and it has read what it must. To be called after adopt()
-  /// with the stored set at the start, and whenever a read is done. A voter that does not hold state must
-  /// read, whether the set names it as a reader or not.
-  void holdsState(bool holds) { holdsState_ = holds; }
+  /// Whether this process holds complete state: nothing it promised is lost, and it has read what it must. To
+  /// be called after adopt() with the stored set at startup, and after each completed recovery. A voter
+  /// without complete state must read, even if the set does not list it as a reader.
+  void setHoldsState(bool holds) { holdsState_ = holds; }
   [[nodiscard]] bool holdsState() const { return holdsState_; }
 
-  /// The set to be proposed now, if this process is the one to propose; each call may start one more ballot.
+  /// Returns the set to propose now, if it is this process's turn. Each returned set may start a ballot.
   std::optional<VoterSet> proposal(Span now);
-  /// Whether a proposed set may be accepted here: one step away, and nobody who is heard here is put out.
-  /// mayBeDecided: a majority may have accepted it before. Then one step away is enough, as it can neither be
-  /// passed over nor be completed without this voter.
+  /// Whether this process may accept a proposed set: it must be a single step away and must not remove a
+  /// voter that is connected here. mayBeDecided: a majority may have accepted the set already. A single step
+  /// is sufficient then, because the set can neither be skipped nor completed without this voter.
   [[nodiscard]] bool acceptable(Span now, const VoterSet& proposed, bool mayBeDecided) const;
-  /// Whether another process stands at that voter's address: its disk is lost, and it never votes again.
-  [[nodiscard]] bool isGone(const VoterId& voter) const;
-  /// Control processes that stand with this one, by their present identity.
+  /// Whether another incarnation runs at the voter's address, so that the voter's disk is lost and it will
+  /// never vote again.
+  [[nodiscard]] bool isPermanentlyLost(const VoterId& voter) const;
+  /// Connected control processes with their current identities.
   [[nodiscard]] std::vector<VoterId> peers() const;
 
  private:
@@ -68,45 +74,46 @@
     bool up = false;
     bool founder = false;
     bool holdsState = false;
-    bool putOut = false;  // of the set in force, under this identity; it joins under another one only
-    Span since{};         // that it is up, or down
+    bool removed =
+        false;  // it was removed from the voter set under this identity and may rejoin only under a new one
+    Span since{};  // time of the last change of `up`
   };
 
-  /// A set that may follow the one in force.
-  [[nodiscard]] bool isNext(const VoterSet& proposed) const;
+  /// Whether the set may follow the current one.
+  [[nodiscard]] bool isValidSuccessor(const VoterSet& proposed) const;
   [[nodiscard]] bool isUp(const VoterId& voter) const;
-  [[nodiscard]] bool knownToHoldState(const VoterId& voter) const;
-  /// Voters that are up and hold state, this process among them, by address.
-  [[nodiscard]] std::vector<VoterId> ableVoters() const;
-  [[nodiscard]] bool silentFor(Span now, const VoterId& voter, Span time) const;
-  [[nodiscard]] bool readersDone(Span now, const VoterId* leaves) const;
-  [[nodiscard]] bool enoughAble(const VoterId* leaves) const;
-  /// The standby with the lowest address that has been up for so long.
-  [[nodiscard]] std::optional<VoterId> standby(Span now, Span upFor) const;
+  [[nodiscard]] bool isKnownToHoldState(const VoterId& voter) const;
+  /// Voters that are up and hold complete state, including this process, by address.
+  [[nodiscard]] std::vector<VoterId> availableVoters() const;
+  [[nodiscard]] bool isDownFor(Span now, const VoterId& voter, Span time) const;
+  [[nodiscard]] bool readersComplete(Span now, const VoterId* leaving) const;
+  [[nodiscard]] bool quorumAvailable(const VoterId* leaving) const;
+  /// The standby with the lowest address among those that have been up for at least `minUptime`.
+  [[nodiscard]] std::optional<VoterId> standby(Span now, Span minUptime) const;
 
-  [[nodiscard]] std::optional<VoterSet> wanted(Span now) const;
-  [[nodiscard]] std::optional<VoterSet> founding(Span now) const;
-  [[nodiscard]] std::optional<VoterSet> replacementOfWiped(Span now) const;
-  [[nodiscard]] std::optional<VoterSet> replacementOfSilent(Span now) const;
-  [[nodiscard]] std::optional<VoterSet> growth(Span now) const;
+  [[nodiscard]] std::optional<VoterSet> desiredSet(Span now) const;
+  [[nodiscard]] std::optional<VoterSet> foundingProposal(Span now) const;
+  [[nodiscard]] std::optional<VoterSet> replacementOfLost(Span now) const;
+  [[nodiscard]] std::optional<VoterSet> replacementOfDown(Span now) const;
+  [[nodiscard]] std::optional<VoterSet> expansion(Span now) const;
   [[nodiscard]] std::optional<VoterSet> shrinkage(Span now) const;
   [[nodiscard]] Span rankDelay() const;
 
-  /// The first set, with these founders.
-  [[nodiscard]] VoterSet foundedWith(std::vector<VoterId> founders) const;
-  void began(Span now);
-  void knowFounder(const VoterId& founder);
-  void forgetGone(Span now);
+  /// The first agreed set, with these founders as voters.
+  [[nodiscard]] VoterSet foundingSet(std::vector<VoterId> founders) const;
+  void recordStart(Span now);
+  void addFounder(const VoterId& founder);
+  void evictStalePeers(Span now);
 
   VoterId self_;
   VoterSet set_;
-  bool wasVoter_ = false;  // of a set that was agreed on, under this incarnation
+  bool wasVoter_ = false;  // of an agreed set, under the current incarnation
   bool holdsState_ = false;
-  std::optional<Span> start_;
-  std::map<Address, Peer> peers_;  // voters of the set, whether they were ever up or not, and who else is up
-  std::optional<VoterSet> wanted_;
-  Span wantedSince_{};
-  std::optional<Span> proposedAt_;  // what is wanted now
+  std::optional<Span> startedAt_;
+  std::map<Address, Peer> peers_;  // all voters of the set, and other processes that are or recently were up
+  std::optional<VoterSet> desired_;
+  Span desiredSince_{};
+  std::optional<Span> proposedAt_;  // last proposal of the desired set
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/message_layout.hpp
+++ b/src/mesh/control/message_layout.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// How each type that goes over the wire is laid out as JSON: the names of its fields, or the order of its
-// members. Only the codec of messages uses this; it reads and writes nothing.
+// JSON layout of each type sent over the wire: field names for objects, member order for arrays. Used by the
+// message codec only.
 
 #include <concepts>
 #include <tuple>
@@ -21,19 +21,19 @@
   return {name, member};
 }
 
-/// A field that earlier processes leave out: it keeps its default then.
+/// An optional field, which earlier versions do not send; it keeps its default value when missing.
 template <class Owner, class Member>
-constexpr Field<Owner, Member> laterField(const char* name, Member Owner::*member) {
+constexpr Field<Owner, Member> optionalField(const char* name, Member Owner::*member) {
   return {name, member, false};
 }
 
-/// Objects: `fields`, and for messages `kind`. Arrays: `positions`, the members in their order.
+/// Objects define `fields`, and messages also `kind`. Arrays define `elements`, their members in order.
 template <class T>
 struct Layout;
 
 template <>
 struct Layout<VoterId> {
-  static constexpr auto positions = std::make_tuple(&VoterId::at, &VoterId::incarnation);
+  static constexpr auto elements = std::make_tuple(&VoterId::at, &VoterId::incarnation);
 };
 template <>
 struct Layout<VoterSet> {
@@ -44,27 +44,27 @@
 };
 template <>
 struct Layout<Ballot> {
-  static constexpr auto positions = std::make_tuple(&Ballot::round, &Ballot::proposer);
+  static constexpr auto elements = std::make_tuple(&Ballot::round, &Ballot::proposer);
 };
 template <>
 struct Layout<RegisterId> {
-  static constexpr auto positions = std::make_tuple(&RegisterId::item, &RegisterId::version);
+  static constexpr auto elements = std::make_tuple(&RegisterId::item, &RegisterId::version);
 };
 template <>
 struct Layout<AcceptedOrder> {
-  static constexpr auto positions = std::make_tuple(&AcceptedOrder::ballot, &AcceptedOrder::order);
+  static constexpr auto elements = std::make_tuple(&AcceptedOrder::ballot, &AcceptedOrder::order);
 };
 template <>
 struct Layout<DecidedRegister> {
-  static constexpr auto positions = std::make_tuple(&DecidedRegister::id, &DecidedRegister::print);
+  static constexpr auto elements = std::make_tuple(&DecidedRegister::id, &DecidedRegister::hash);
 };
 template <>
 struct Layout<Holder> {
-  static constexpr auto positions = std::make_tuple(&Holder::at, &Holder::life, &Holder::no);
+  static constexpr auto elements = std::make_tuple(&Holder::at, &Holder::life, &Holder::no);
 };
 template <>
 struct Layout<Vote> {
-  static constexpr auto positions = std::make_tuple(&Vote::claim, &Vote::holder);
+  static constexpr auto elements = std::make_tuple(&Vote::claim, &Vote::holder);
 };
 
 template <>
@@ -82,7 +82,7 @@
       field("format", &Welcome::format), field("self", &Welcome::self), field("founder", &Welcome::founder),
       field("holds", &Welcome::holdsState), field("zone", &Welcome::zone),
       field("controls", &Welcome::controls), field("voters", &Welcome::voters),
-      field("life", &Welcome::highestLife), laterField("own_life", &Welcome::life));
+      field("life", &Welcome::highestLife), optionalField("own_life", &Welcome::life));
 };
 template <>
 struct Layout<Heartbeat> {
@@ -111,18 +111,18 @@
 template <>
 struct Layout<PrepareReply> {
   static constexpr const char* kind = "prepared";
-  static constexpr auto fields =
-      std::make_tuple(field("ballot", &PrepareReply::ballot), field("epoch", &PrepareReply::epoch),
-                      field("voter", &PrepareReply::voter), field("granted", &PrepareReply::granted),
-                      field("promised", &PrepareReply::promised), field("accepted", &PrepareReply::accepted),
-                      field("decided", &PrepareReply::decided), field("standing", &PrepareReply::standing));
+  static constexpr auto fields = std::make_tuple(
+      field("ballot", &PrepareReply::ballot), field("epoch", &PrepareReply::epoch),
+      field("voter", &PrepareReply::voter), field("granted", &PrepareReply::granted),
+      field("promised", &PrepareReply::promised), field("accepted", &PrepareReply::accepted),
+      field("decided", &PrepareReply::decided), field("standing", &PrepareReply::currentItems));
 };
 template <>
 struct Layout<Accept> {
   static constexpr const char* kind = "accept";
   static constexpr auto fields =
       std::make_tuple(field("ballot", &Accept::ballot), field("epoch", &Accept::epoch),
-                      field("order", &Accept::order), laterField("decided", &Accept::mayBeDecided));
+                      field("order", &Accept::order), optionalField("decided", &Accept::mayBeDecided));
 };
 template <>
 struct Layout<AcceptReply> {
@@ -131,13 +131,13 @@
       std::make_tuple(field("ballot", &AcceptReply::ballot), field("epoch", &AcceptReply::epoch),
                       field("voter", &AcceptReply::voter), field("granted", &AcceptReply::granted),
                       field("promised", &AcceptReply::promised), field("decided", &AcceptReply::decided),
-                      field("standing", &AcceptReply::standing));
+                      field("standing", &AcceptReply::currentItems));
 };
 template <>
 struct Layout<Decided> {
   static constexpr const char* kind = "decided";
   static constexpr auto fields =
-      std::make_tuple(field("order", &Decided::order), laterField("later", &Decided::later));
+      std::make_tuple(field("order", &Decided::order), optionalField("later", &Decided::later));
 };
 template <>
 struct Layout<ItemsRequest> {
@@ -149,7 +149,7 @@
 template <>
 struct Layout<ItemsReply> {
   static constexpr const char* kind = "items";
-  // The list last: itemsReplies() writes it behind the others.
+  // The list must come last because itemsReplies() appends it after the other fields.
   static constexpr auto fields =
       std::make_tuple(field("part", &ItemsReply::part), field("parts", &ItemsReply::parts),
                       field("read", &ItemsReply::read), field("holds", &ItemsReply::holdsState),
@@ -173,19 +173,19 @@
   static constexpr const char* kind = "roster";
   static constexpr auto fields =
       std::make_tuple(field("nodes", &RegistryUpdate::nodes), field("list", &RegistryUpdate::servers),
-                      laterField("replaced", &RegistryUpdate::replaced));
+                      optionalField("replaced", &RegistryUpdate::replaced));
 };
 template <>
 struct Layout<ServersUpdate> {
   static constexpr const char* kind = "servers";
   static constexpr auto fields = std::make_tuple(
-      field("list", &ServersUpdate::servers), laterField("replaced", &ServersUpdate::replaced),
-      laterField("record", &ServersUpdate::record), laterField("recorded", &ServersUpdate::recorded));
+      field("list", &ServersUpdate::servers), optionalField("replaced", &ServersUpdate::replaced),
+      optionalField("record", &ServersUpdate::record), optionalField("recorded", &ServersUpdate::recorded));
 };
 template <>
-struct Layout<Follow> {
+struct Layout<Subscribe> {
   static constexpr const char* kind = "follow";
-  static constexpr auto fields = std::make_tuple(field("list", &Follow::services));
+  static constexpr auto fields = std::make_tuple(field("list", &Subscribe::services));
 };
 template <>
 struct Layout<ClaimRequest> {
@@ -222,12 +222,12 @@
 };
 
 template <class T>
-concept LaidAsObject = requires {
+concept ObjectLayout = requires {
   Layout<T>::fields;
 };
 template <class T>
-concept LaidAsArray = requires {
-  Layout<T>::positions;
+concept ArrayLayout = requires {
+  Layout<T>::elements;
 };
 
 }  // namespace rackroute::mesh::codec
--- a/src/mesh/control/message_reader.hpp
+++ b/src/mesh/control/message_reader.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Reads messages and their parts from JSON. What another process sends may be anything: each value is checked
-// for its type, its bounds and what must hold between fields, before it is copied.
+// Decodes messages and their parts from JSON. Input from another process is untrusted: the type, the bounds
+// and the consistency between fields are checked for each value before it is copied.
 
 #include <algorithm>
 #include <cstdint>
@@ -18,31 +18,32 @@
 
 using nlohmann::json;
 
-/// Entries of a list. A session bounds the bytes of a message; this bounds what they may become in memory.
-inline constexpr std::size_t kMostEntries = 1'000'000;
-/// Voters of a set and founders; twelve vote at most, the rest is spare.
-inline constexpr std::size_t kMostVoters = 64;
-/// Characters of an address.
-inline constexpr std::size_t kLongestAddress = 256;
-/// Of epochs and rounds, which rise by one. Guards against a damaged message: a higher one would stand above
-/// all that follow.
-inline constexpr std::uint64_t kHighestCount = std::uint64_t{1} << 62;
-/// Of a server's cold time in milliseconds, either way, so that it can be counted in microseconds.
-inline constexpr std::int64_t kLongestColdTime = std::numeric_limits<std::int64_t>::max() / 1000;
-inline constexpr std::size_t kNewsFields = 10;
-inline constexpr unsigned kMostNewsFlags = 15;
-
-/// Why a message is refused; it leaves messages.cpp only as an Error, or as the exception of voterSetFrom.
-class Refusal : public json::exception {
+/// Maximum number of list entries. The session limits the size of a message; this limits the memory it can
+/// expand to.
+inline constexpr std::size_t kMaxEntries = 1'000'000;
+/// Maximum size of a voter set and of the list of founders; well above the supported number of voters.
+inline constexpr std::size_t kMaxVoters = 64;
+/// Maximum length of an address in bytes.
+inline constexpr std::size_t kMaxAddressLength = 256;
+/// Maximum epoch and round. Both increase in steps of one; a higher value from a corrupt message would exceed
+/// all later ones.
+inline constexpr std::uint64_t kMaxCounter = std::uint64_t{1} << 62;
+/// Maximum magnitude of a server's cold time in milliseconds, so that it can be represented in microseconds.
+inline constexpr std::int64_t kMaxColdTimeMs = std::numeric_limits<std::int64_t>::max() / 1000;
+inline constexpr std::size_t kNewsFieldCount = 10;
+inline constexpr unsigned kMaxNewsFlags = 15;
+
+/// Describes why a message was rejected. Not thrown outside messages.cpp, except by voterSetFrom.
+class DecodeError : public json::exception {
  public:
-  explicit Refusal(const std::string& what) : json::exception(kId, what.c_str()) {}
+  explicit DecodeError(const std::string& what) : json::exception(kId, what.c_str()) {}
 
  private:
-  static constexpr int kId = 900;  // none of the library's own
+  static constexpr int kId = 900;  // not used by nlohmann::json
 };
 
-inline void require(bool holds, const char* what) {
-  if (!holds) throw Refusal(what);
+inline void require(bool condition, const char* what) {
+  if (!condition) throw DecodeError(what);
 }
 
 inline std::uint64_t unsignedFrom(const json& from, std::uint64_t highest) {
@@ -51,25 +52,25 @@
     require(value <= highest, "is too large");
     return value;
   }
-  require(from.is_number_integer(), "is no whole number");
+  require(from.is_number_integer(), "is not an integer");
   const auto value = from.get<std::int64_t>();
-  require(value >= 0, "is below 0");
+  require(value >= 0, "is negative");
   require(static_cast<std::uint64_t>(value) <= highest, "is too large");
   return static_cast<std::uint64_t>(value);
 }
 
 inline std::int64_t signedFrom(const json& from) {
-  require(from.is_number_integer(), "is no whole number");
+  require(from.is_number_integer(), "is not an integer");
   const bool fits = !from.is_number_unsigned() ||
                     from.get<std::uint64_t>() <= std::uint64_t{std::numeric_limits<std::int64_t>::max()};
   require(fits, "is too large");
   return from.get<std::int64_t>();
 }
 
-inline void requireText(const json& from) { require(from.is_string(), "is no text"); }
+inline void requireString(const json& from) { require(from.is_string(), "is not a string"); }
 
 inline void requireArray(const json& from, std::size_t entries) {
-  require(from.is_array() && from.size() == entries, "is no array of that many entries");
+  require(from.is_array() && from.size() == entries, "is not an array of the expected length");
 }
 
 inline const json& memberOf(const json& from, const char* name) {
@@ -78,11 +79,11 @@
   return *found;
 }
 
-/// Reads values from JSON and throws a Refusal for what can't be one.
+/// Decodes values from JSON; throws DecodeError for invalid input.
 class Reader {
  public:
   static void get(const json& from, bool& to) {
-    require(from.is_boolean(), "is neither true nor false");
+    require(from.is_boolean(), "is not a boolean");
     to = from.get<bool>();
   }
   static void get(const json& from, std::uint32_t& to) {
@@ -92,36 +93,36 @@
     to = unsignedFrom(from, std::numeric_limits<std::uint64_t>::max());
   }
   static void get(const json& from, std::string& to) {
-    requireText(from);
+    requireString(from);
     to = from.get_ref<const std::string&>();
   }
-  static void get(const json& from, Epoch& to) { to.value = unsignedFrom(from, kHighestCount); }
+  static void get(const json& from, Epoch& to) { to.value = unsignedFrom(from, kMaxCounter); }
   static void get(const json& from, Address& to) {
     get(from, to.value);
-    require(!to.value.empty(), "is no address");
-    require(to.value.size() <= kLongestAddress, "is too long for an address");
+    require(!to.value.empty(), "is empty");
+    require(to.value.size() <= kMaxAddressLength, "exceeds the maximum length of an address");
   }
   static void get(const json& from, std::vector<std::uint8_t>& to) {
-    requireText(from);
+    requireString(from);
     auto bytes = fromBase64(from.get_ref<const std::string&>());
-    require(bytes.has_value(), "is no base64");
+    require(bytes.has_value(), "is not valid base64");
     to = *std::move(bytes);
   }
   static void get(const json& from, KeyPrint& to) {
-    requireText(from);
+    requireString(from);
     const auto print = printFrom(from.get_ref<const std::string&>());
-    require(print.has_value(), "is no print of a key");
+    require(print.has_value(), "is not a key hash");
     to = *print;
   }
   static void get(const json& from, ItemKey& to) {
-    requireText(from);
+    requireString(from);
     auto key = keyOf(from.get_ref<const std::string&>());
-    require(key.has_value(), "is no item's name");
+    require(key.has_value(), "is not an item name");
     to = *std::move(key);
   }
-  /// The versions that a process holds, as Items::beyond() reads them.
+  /// Item versions as read by Items::beyond().
   static void get(const json& from, json& to) {
-    require(from.is_object(), "is no object");
+    require(from.is_object(), "is not an object");
     for (const json& version : from) {
       std::pair<std::uint64_t, std::uint64_t> generationAndPrint;
       get(version, generationAndPrint);
@@ -129,37 +130,37 @@
     to = from;
   }
   static void get(const json& from, Item& to) {
-    require(from.is_object(), "is no item");
+    require(from.is_object(), "is not an item");
     get(memberOf(from, "k"), to.key);
     get(memberOf(from, "g"), to.generation);
     if (from.contains("p")) get(from["p"], to.print);
     to.dropped = !from.contains("v");
     if (to.dropped) return;
     if (from.contains("h")) get(from["h"], to.hostname);
-    // Before it is copied, which a value nested very deep would not survive.
+    // Checked before the copy, which could exhaust the stack for a deeply nested value.
     if (const std::string fault = faultOf(to.key.kind, from["v"]); !fault.empty())
-      throw Refusal("holds " + textOf(to.key) + ", which " + fault);
+      throw DecodeError("contains " + textOf(to.key) + ", which " + fault);
     to.value = from["v"];
     if (to.key.kind == ItemKind::voters) getVoters(to);
   }
   static void get(const json& from, OrderPtr& to) {
     std::vector<Item> items;
     get(from, items);
-    require(!items.empty(), "is an order of nothing");
+    require(!items.empty(), "is an empty order");
     to = makeOrder(std::move(items));
   }
   static void get(const json& from, News& to) {
-    requireArray(from, kNewsFields);
-    for (std::size_t text = 0; text < 5; ++text) requireText(from[text]);
+    requireArray(from, kNewsFieldCount);
+    for (std::size_t text = 0; text < 5; ++text) requireString(from[text]);
     for (std::size_t number = 5; number < 7; ++number) {
       std::uint64_t lifeOrSequence = 0;
       get(from[number], lifeOrSequence);
     }
     std::uint32_t capacity = 0;
     get(from[7], capacity);
-    unsignedFrom(from[8], kMostNewsFlags);
+    unsignedFrom(from[8], kMaxNewsFlags);
     const std::int64_t coldLeft = signedFrom(from[9]);
-    require(coldLeft >= -kLongestColdTime && coldLeft <= kLongestColdTime, "has too long a cold time");
+    require(coldLeft >= -kMaxColdTimeMs && coldLeft <= kMaxColdTimeMs, "has a cold time out of range");
     to = newsFrom(from);
   }
   template <class Tag, class Value>
@@ -179,23 +180,23 @@
   }
   template <class T>
   static void get(const json& from, std::vector<T>& to) {
-    require(from.is_array(), "is no list");
-    require(from.size() <= kMostEntries, "is too long");
+    require(from.is_array(), "is not a list");
+    require(from.size() <= kMaxEntries, "is too long");
     to.clear();
     to.reserve(from.size());
     for (const json& entry : from) get(entry, to.emplace_back());
   }
-  template <LaidAsArray T>
+  template <ArrayLayout T>
   static void get(const json& from, T& to) {
-    constexpr auto& positions = Layout<T>::positions;
-    requireArray(from, std::tuple_size_v<std::remove_cvref_t<decltype(positions)>>);
-    std::size_t place = 0;
-    std::apply([&](auto... member) { (get(from[place++], to.*member), ...); }, positions);
+    constexpr auto& elements = Layout<T>::elements;
+    requireArray(from, std::tuple_size_v<std::remove_cvref_t<decltype(elements)>>);
+    std::size_t index = 0;
+    std::apply([&](auto... member) { (get(from[index++], to.*member), ...); }, elements);
     check(to);
   }
-  template <LaidAsObject T>
+  template <ObjectLayout T>
   static void get(const json& from, T& to) {
-    require(from.is_object(), "is no object");
+    require(from.is_object(), "is not an object");
     std::apply([&](auto... each) { (getField(from, each.name, each.required, to.*each.member), ...); },
                Layout<T>::fields);
     check(to);
@@ -206,38 +207,40 @@
   static void getField(const json& from, const char* name, bool required, T& to) try {
     if (!required && !from.contains(name)) return;
     get(memberOf(from, name), to);
-  } catch (const Refusal& refusal) {
-    throw Refusal(std::string(name) + ' ' + refusal.what());
+  } catch (const DecodeError& error) {
+    throw DecodeError(std::string(name) + ' ' + error.what());
   }
 
-  /// A set of voters that is agreed on like any item: its epoch is the item's version.
+  /// A voter set item: its epoch must equal the item's version.
   static void getVoters(const Item& item) {
     VoterSet set;
     get(item.value, set);
     require(set.epoch.value == item.generation.value && set.epoch.value > 0,
-            "holds a set of voters of another epoch than its version");
+            "contains a voter set whose epoch differs from the item version");
   }
 
-  // What must hold between the fields of one value.
+  // Consistency checks between the fields of a value.
   template <class T>
   static void check(const T&) {}
-  static void check(const Ballot& ballot) { require(ballot.round <= kHighestCount, "has too high a round"); }
+  static void check(const Ballot& ballot) {
+    require(ballot.round <= kMaxCounter, "has a round that is too high");
+  }
   static void check(const ItemsReply& reply) {
-    require(reply.parts <= kMostEntries && reply.part < reply.parts, "is a part that there can't be");
+    require(reply.parts <= kMaxEntries && reply.part < reply.parts, "has an invalid part number");
   }
   static void check(const VoterSet& set) {
-    const bool sizesFit = set.voters.size() <= kMostVoters && set.previousSize <= kMostVoters &&
-                          set.foundingSize <= kMostVoters;
+    const bool sizesFit =
+        set.voters.size() <= kMaxVoters && set.previousSize <= kMaxVoters && set.foundingSize <= kMaxVoters;
     require(sizesFit, "has too many voters");
     require(set.epoch.value == 0 || !set.voters.empty(), "has no voters");
     const auto sameOrLater = [](const VoterId& a, const VoterId& b) { return a.at >= b.at; };
     const bool inOrder =
         std::adjacent_find(set.voters.begin(), set.voters.end(), sameOrLater) == set.voters.end();
-    require(inOrder, "has its voters out of order, or two at one address");
+    require(inOrder, "has unsorted voters or duplicate addresses");
     require(set.readers.size() <= set.voters.size(), "has more readers than voters");
     const bool allVote = std::all_of(set.readers.begin(), set.readers.end(),
                                      [&](const VoterId& reader) { return set.contains(reader); });
-    require(allVote, "has a reader that is no voter");
+    require(allVote, "has a reader that is not a voter");
   }
 };
 
--- a/src/mesh/control/message_writer.hpp
+++ b/src/mesh/control/message_writer.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// Writes messages and their parts as JSON text. It checks nothing: what a process sends it has made itself.
+// Encodes messages and their parts as JSON text. Values are not validated, as they originate from this
+// process.
 
 #include <span>
 #include <string>
@@ -14,15 +15,15 @@
 
 using nlohmann::json;
 
-/// Appends values as JSON text. Text and not json objects, so that an item's text is written out once and
-/// shared by all messages that carry the item.
+/// Appends values as JSON text. Writes text instead of building json objects, so that an item is serialized
+/// once and its text shared by all messages that carry it.
 class Writer {
  public:
   void put(bool value) { text_ += value ? "true" : "false"; }
   void put(std::uint32_t value) { text_ += std::to_string(value); }
   void put(std::uint64_t value) { text_ += std::to_string(value); }
   void put(const std::string& value) { put(json(value)); }
-  /// Names that are no UTF-8 are written with replacements, as the other side could not read them.
+  /// Invalid UTF-8 in names is replaced, as the receiver could not parse it.
   void put(const json& value) { text_ += value.dump(-1, ' ', false, json::error_handler_t::replace); }
   void put(const std::vector<std::uint8_t>& bytes) { text_ += '"' + toBase64(bytes) + '"'; }
   void put(const KeyPrint& print) { text_ += '"' + textOf(print) + '"'; }
@@ -62,18 +63,18 @@
     }
     close(']');
   }
-  template <LaidAsArray T>
+  template <ArrayLayout T>
   void put(const T& value) {
     text_ += '[';
-    std::apply([&](auto... member) { ((put(value.*member), text_ += ','), ...); }, Layout<T>::positions);
+    std::apply([&](auto... member) { ((put(value.*member), text_ += ','), ...); }, Layout<T>::elements);
     close(']');
   }
-  template <LaidAsObject T>
+  template <ObjectLayout T>
   void put(const T& value) {
     text_ += '{';
     if constexpr (requires { Layout<T>::kind; }) text_ += std::string("\"t\":\"") + Layout<T>::kind + "\",";
     const auto putEach = [&](auto each) {
-      // Whoever reads a field that may be missing takes it for its default.
+      // A missing optional field is read as its default value.
       if (each.required || !isDefault(value.*each.member)) putField(each.name, value.*each.member);
     };
     std::apply([&](auto... each) { (putEach(each), ...); }, Layout<T>::fields);
@@ -85,8 +86,8 @@
     put(value);
     text_ += ',';
   }
-  /// Takes back the last characters, if they are these.
-  void takeBack(std::string_view end) {
+  /// Removes the suffix if the text ends with it.
+  void removeSuffix(std::string_view end) {
     if (std::string_view(text_).ends_with(end)) text_.resize(text_.size() - end.size());
   }
   void append(std::string_view text) { text_ += text; }
@@ -102,7 +103,7 @@
     }
   }
   void close(char end) {
-    takeBack(",");
+    removeSuffix(",");
     text_ += end;
   }
 
--- a/src/mesh/control/messages.cpp
+++ b/src/mesh/control/messages.cpp
@@ -17,25 +17,25 @@
 using codec::Writer;
 using nlohmann::json;
 
-/// Items of one ItemsReply: some milliseconds' work on a slow machine, so that none holds up who reads it.
-constexpr std::size_t kItemsAMessage = 150;
+/// Limits the work per message to a few milliseconds on a slow machine, so that the receiver is not blocked.
+constexpr std::size_t kItemsPerMessage = 150;
 
-/// Updates of servers, which name those that were replaced beside the list.
+/// Server updates, which list the replaced servers separately.
 template <class T>
-concept TellsOfServers = requires(T update) {
+concept CarriesServers = requires(T update) {
   update.servers;
   update.replaced;
 };
 
-template <TellsOfServers T>
-T withReplacedNamed(T update) {
+template <CarriesServers T>
+T withReplacedIds(T update) {
   for (const News& news : update.servers) {
     if (news.served.replaced) update.replaced.push_back(news.served.id);
   }
   return update;
 }
 
-template <TellsOfServers T>
+template <CarriesServers T>
 void markReplaced(T& update) {
   for (News& news : update.servers) {
     const auto& named = update.replaced;
@@ -48,8 +48,8 @@
 
 template <class T>
 void put(const T& message, Writer& writer) {
-  if constexpr (TellsOfServers<T>) {
-    writer.put(withReplacedNamed(message));
+  if constexpr (CarriesServers<T>) {
+    writer.put(withReplacedIds(message));
   } else {
     writer.put(message);
   }
@@ -59,7 +59,7 @@
 Message read(const json& text) {
   T message;
   Reader::get(text, message);
-  if constexpr (TellsOfServers<T>) markReplaced(message);
+  if constexpr (CarriesServers<T>) markReplaced(message);
   return message;
 }
 
@@ -72,7 +72,7 @@
 constexpr auto kindsOf(std::type_identity<std::variant<T...>>) {
   return std::array<Kind, sizeof...(T)>{Kind{Layout<T>::kind, &read<T>}...};
 }
-/// In the order of Message's alternatives.
+/// In the order of the alternatives of Message.
 constexpr auto kKinds = kindsOf(std::type_identity<Message>{});
 
 }  // namespace
@@ -84,14 +84,14 @@
 }
 
 Result<Message> decode(const json& text) {
-  if (!text.is_object()) return failure("message", "is no object");
+  if (!text.is_object()) return failure("message", "is not an object");
   const auto name = text.find("t");
-  if (name == text.end() || !name->is_string()) return failure("message", "is of no kind");
+  if (name == text.end() || !name->is_string()) return failure("message", "has no kind");
   const auto& wanted = name->get_ref<const std::string&>();
   const auto kind =
       std::find_if(kKinds.begin(), kKinds.end(), [&](const Kind& each) { return each.name == wanted; });
-  if (kind == kKinds.end()) return failure("message", "is of an unknown kind");
-  // Guards against whatever a damaged or foreign process sends: nothing of it is taken.
+  if (kind == kKinds.end()) return failure("message", "has an unknown kind");
+  // Malformed input from a corrupt or foreign process is rejected as a whole.
   try {
     return kind->read(text);
   } catch (const json::exception& error) {
@@ -101,7 +101,8 @@
 
 std::vector<std::shared_ptr<const std::string>> itemsReplies(const ItemsReply& head,
                                                              const std::vector<Item>& items) {
-  const std::size_t parts = std::max<std::size_t>(1, (items.size() + kItemsAMessage - 1) / kItemsAMessage);
+  const std::size_t parts =
+      std::max<std::size_t>(1, (items.size() + kItemsPerMessage - 1) / kItemsPerMessage);
   std::vector<std::shared_ptr<const std::string>> texts;
   texts.reserve(parts);
   ItemsReply reply = head;
@@ -109,11 +110,11 @@
   reply.parts = parts;
   for (std::size_t part = 0; part < parts; ++part) {
     reply.part = part;
-    const std::size_t first = part * kItemsAMessage;
-    const std::size_t count = std::min(kItemsAMessage, items.size() - first);
+    const std::size_t first = part * kItemsPerMessage;
+    const std::size_t count = std::min(kItemsPerMessage, items.size() - first);
     Writer writer;
     writer.put(reply);
-    writer.takeBack("[]}");
+    writer.removeSuffix("[]}");
     writer.putList(std::span<const Item>(items).subspan(first, count));
     writer.append("}");
     texts.push_back(std::make_shared<const std::string>(writer.take()));
--- a/src/mesh/control/messages.hpp
+++ b/src/mesh/control/messages.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// The messages of the control plane, between control processes and with sidecars: typed, each with one
-// encoding. They are contracts between the parts and decide nothing. A message that can't be decoded is
-// refused whole, with an error that names the step; nothing of it is taken.
+// The messages between control processes and between control processes and sidecars. Each message type has
+// exactly one encoding. A message that cannot be decoded is rejected as a whole, with an error that names the
+// failed step.
 
 #include <cstdint>
 #include <memory>
@@ -21,54 +21,54 @@
 
 namespace rackroute::mesh {
 
-/// Of the messages below; processes with another one do not talk to each other.
+/// Version of the message format. Processes with different versions do not communicate.
 inline constexpr std::uint32_t kMessageFormat = 2;
 
-// --- agreement on orders (agreement.hpp says how)
+// --- agreement on orders (see agreement.hpp)
 
-/// Orders the attempts to have something agreed on. Attempts of two proposers never compare equal. The
-/// round's high bits are the epoch (ballot_rounds.hpp), so that every ballot of an epoch is above those of
-/// the epochs before.
+/// Ballot number of an agreement attempt. Ballots of different proposers are never equal. The high bits of
+/// the round contain the epoch (ballot_rounds.hpp), so every ballot of an epoch is higher than those of
+/// earlier epochs.
 struct Ballot {
   std::uint64_t round = 0;
   Incarnation proposer;
   auto operator<=>(const Ballot&) const = default;
 };
 
-/// One version of one item: what exactly one value is ever agreed on for.
+/// One version of one item. At most one value is decided per register.
 struct RegisterId {
   ItemKey item;
   Generation version;
   auto operator<=>(const RegisterId&) const = default;
 };
-/// The register that an item is a value for.
+/// The register for which the item is a value.
 RegisterId registerOf(const Item& item);
 
-/// One call of an operator: its items come into force together or not at all. Equal calls are equal orders,
-/// whichever process took them.
+/// A set of items proposed by one operator call, which take effect together or not at all. Calls with equal
+/// items result in equal orders, regardless of the process that received them.
 struct Order {
-  std::uint64_t id = 0;  // hash of the items
+  std::uint64_t id = 0;  // computed from the hashes of the items
   std::vector<Item> items;
 };
 using OrderPtr = std::shared_ptr<const Order>;
-/// Computes the prints of the items, where they lack one, and the id.
+/// Creates an order: computes missing item hashes and the id.
 OrderPtr makeOrder(std::vector<Item> items);
-/// Whether it is about the set of voters, and so holds nothing of the configuration.
-bool isVoterSet(const Order& order);
-/// More time for a step of an order's agreement than a small one needs: a slow process reads, writes and
-/// sends that many items in about that time. Guards against ballots that are begun anew, with all items sent
-/// again, while the one before is still at work.
-Span timeForSize(std::size_t items);
+/// Whether the order contains a voter set; such an order contains no configuration items.
+bool isVoterSetOrder(const Order& order);
+/// Extra time per agreement step for large orders: roughly the time in which a slow process reads, writes and
+/// sends that many items. Prevents a ballot from being retried, and all items from being sent again, while
+/// the previous one is still being processed.
+Span extraTimeFor(std::size_t items);
 
 struct AcceptedOrder {
   Ballot ballot;
   OrderPtr order;
 };
-/// A register that is decided, with the print of its value. Print 0: it is so old that the print is
-/// forgotten; whatever is proposed for it has no effect.
+/// A decided register and the hash of its value. Hash 0 means that the decision has expired
+/// from the history; proposing a value for the register has no effect.
 struct DecidedRegister {
   RegisterId id;
-  std::uint64_t print = 0;
+  std::uint64_t hash = 0;
 };
 
 struct Prepare {
@@ -77,21 +77,23 @@
   std::vector<RegisterId> registers;
 };
 struct PrepareReply {
-  Ballot ballot;  // of the request
+  Ballot ballot;  // ballot of the request
   Epoch epoch;
   VoterId voter;
   bool granted = false;
-  Ballot promised;                       // refused: the highest that was promised
-  std::vector<AcceptedOrder> accepted;   // undecided orders that hold any of the registers, or a later one
-  std::vector<DecidedRegister> decided;  // of the registers, and the latest version of each that is overtaken
-  std::vector<Item> standing;            // items in force at the names of decided registers
+  Ballot promised;  // if refused: the highest ballot promised or accepted
+  /// Undecided orders that contain any of the registers or a later version of their items.
+  std::vector<AcceptedOrder> accepted;
+  /// Decisions for the registers, and later decided versions of their items.
+  std::vector<DecidedRegister> decided;
+  std::vector<Item> currentItems;  // current items with the names of the decided registers
 };
 struct Accept {
   Ballot ballot;
   Epoch epoch;
   OrderPtr order;
-  /// Voters have accepted it before, and it may be decided: no voter may hold it up for what it would rather
-  /// have. Processes that came before this field leave it out.
+  /// Some voters accepted the order before and it may be decided, so voters must not refuse it for reasons of
+  /// their own. Earlier versions do not send this field.
   bool mayBeDecided = false;
 };
 struct AcceptReply {
@@ -101,13 +103,13 @@
   bool granted = false;
   Ballot promised;
   std::vector<DecidedRegister> decided;
-  std::vector<Item> standing;
+  std::vector<Item> currentItems;
 };
-/// A majority has accepted the order: it is in force.
+/// Announces that a majority has accepted the order and it is therefore decided.
 struct Decided {
   OrderPtr order;
-  /// Later versions of its items that are decided: these items have no effect, and whoever lacks a later one
-  /// must not bring them into force. Earlier processes leave it out.
+  /// Later decided versions of the order's items, which supersede those items. A receiver that lacks one of
+  /// the later versions must not apply them. Earlier versions do not send this field.
   std::vector<DecidedRegister> later = {};
 };
 
@@ -115,13 +117,13 @@
 
 struct Hello {
   std::uint32_t format = kMessageFormat;
-  bool control = false;  // a control process; else a sidecar
+  bool control = false;  // true for a control process, false for a sidecar
   NodeName node;
   LifeNo life;
   Address at;
   Incarnation incarnation;  // control only
-  bool founder = false;     // control only: may agree on the first set
-  bool holdsState = false;  // control only: it has lost nothing that it promised
+  bool founder = false;     // control only: may take part in agreeing on the first set
+  bool holdsState = false;  // control only: none of its promises is lost
 };
 struct Welcome {
   std::uint32_t format = kMessageFormat;
@@ -131,17 +133,17 @@
   std::string zone;
   std::vector<Address> controls;  // all known control processes
   VoterSet voters;
-  LifeNo highestLife;  // known of the node that said hello; a life below it is older by its clock only
-  LifeNo life = {};    // of who answers; earlier processes leave it out
+  LifeNo highestLife;  // highest life known for the greeted node; lower ones differ by its clock only
+  LifeNo life = {};    // life of the responder; not sent by earlier versions
 };
 struct Heartbeat {
-  std::uint64_t sequence = 0;  // of this sender to this receiver's process
-  std::uint64_t echo = 0;      // the highest sequence that came from the receiver
-  Epoch epoch;                 // control only, as all below
-  std::uint64_t digest = 0;    // of the items that are on the sender's disk
-  bool holdsState = false;     // it may vote: it lacks nothing that it promised or had to read
-  bool settled = false;        // in touch with a majority, and has read from one since
-  std::size_t members = 0;     // sidecars that are heard anywhere, or were a short while ago
+  std::uint64_t sequence = 0;  // per sender and receiving process
+  std::uint64_t echo = 0;      // highest sequence received from the receiver
+  Epoch epoch;                 // control only, like all fields below
+  std::uint64_t digest = 0;    // digest of the items on the sender's disk
+  bool holdsState = false;     // it may vote: it lost no promises and has read what it had to
+  bool settled = false;        // it holds the majority lease and has completed a majority read since
+  std::size_t members = 0;     // sidecars that are or recently were connected to any control process
 };
 struct ControlAddresses {
   std::vector<Address> list;
@@ -153,20 +155,21 @@
 // --- the configuration
 
 struct ItemsRequest {
-  nlohmann::json versions;  // as Items::versions() gives them
-  std::uint64_t read = 0;   // not 0: part of that read of a majority
-  bool confirmed = false;   // of a sidecar: answer once a majority has confirmed that nothing newer stands
+  nlohmann::json versions;  // in the format of Items::versions()
+  std::uint64_t read = 0;   // not 0: request belongs to that majority read
+  bool confirmed = false;   // sidecar only: reply after a majority has confirmed that there is nothing newer
 };
 struct ItemsReply {
   std::size_t part = 0;
   std::size_t parts = 1;
   std::uint64_t read = 0;
   bool holdsState = true;
-  bool confirmed = false;  // a majority has confirmed it
+  bool confirmed = false;  // a majority has confirmed that the items are current
   std::vector<Item> items;
   [[nodiscard]] bool last() const { return part + 1 >= parts; }
 };
-/// A read of a majority: who answers tells what it has accepted and not seen decided, too.
+/// Request of a majority read. The reply also reports orders that the voter has accepted and does not know to
+/// be decided.
 struct ReadRequest {
   std::uint64_t read = 0;
   Epoch epoch;
@@ -181,38 +184,38 @@
 
 // --- servers
 
-struct RegistryUpdate {  // between control processes
-  std::vector<std::pair<NodeName, bool>>
-      nodes;  // sessions of the sender with sidecars, and whether they stand
+struct RegistryUpdate {  // exchanged between control processes
+  /// Sidecars known to the sender, and whether their sessions are up.
+  std::vector<std::pair<NodeName, bool>> nodes;
   std::vector<News> servers;
-  std::vector<InstanceId> replaced = {};  // the codec's: those of `servers` that are
+  std::vector<InstanceId> replaced = {};  // used by the codec only: replaced ones among `servers`
 };
-struct ServersUpdate {  // between a control process and a sidecar, both ways
+struct ServersUpdate {  // exchanged between a control process and a sidecar in both directions
   std::vector<News> servers;
-  std::vector<InstanceId> replaced = {};  // the codec's: those of `servers` that are
-  /// Of a sidecar, not 0: the same number is to come back as `recorded` once what these servers said of their
-  /// leaving is on disk. Earlier processes leave both out.
+  std::vector<InstanceId> replaced = {};  // used by the codec only: replaced ones among `servers`
+  /// Sent by a sidecar if not 0: the number is returned as `recorded` once the departures reported for these
+  /// servers are on disk. Earlier versions send neither field.
   std::uint64_t record = 0;
   std::uint64_t recorded = 0;
 };
-struct Follow {
+struct Subscribe {
   std::vector<ServiceName> services;
 };
 
 // --- claims on keys
 
 struct ClaimRequest {
-  Epoch epoch;  // in which the claimer counts; a voter of another one does not vote
-  Address at;   // of the claimer
+  Epoch epoch;  // current epoch of the claimer; a voter in another epoch does not vote
+  Address at;   // address of the claimer
   std::vector<std::pair<ClaimNo, KeyPrint>> claims;
 };
-struct ReleaseRequest {  // the claims never ran and never will
+struct ReleaseRequest {  // the claimed operations never ran and never will
   Address at;
   std::vector<std::pair<ClaimNo, KeyPrint>> claims;
 };
 struct Vote {
   ClaimNo claim;
-  std::optional<Holder> holder;  // none: granted
+  std::optional<Holder> holder;  // empty if the claim was granted
 };
 struct Votes {
   Epoch epoch;
@@ -222,37 +225,39 @@
 
 // --- recovery of a voter
 
-/// Of a voter that must read before it votes in this epoch.
+/// Sent by a voter that must read before it votes in this epoch.
 struct SnapshotRequest {
   Epoch epoch;
 };
 struct SnapshotPart {
-  Epoch epoch;  // of the sender, which votes in no earlier one any more
+  Epoch epoch;  // epoch of the sender, which no longer votes in earlier ones
   VoterId voter;
   std::uint64_t part = 0;
   bool last = false;
-  std::vector<std::uint8_t> promises;    // as promise_snapshot.hpp has it; compact and binary
-  std::vector<AcceptedOrder> accepted;   // in the last part
-  std::vector<DecidedRegister> decided;  // in the last part
+  std::vector<std::uint8_t> promises;    // binary, as written by snapshotOf()
+  std::vector<AcceptedOrder> accepted;   // in the last part only
+  std::vector<DecidedRegister> decided;  // in the last part only
 };
 
 using Message =
     std::variant<Hello, Welcome, Heartbeat, ControlAddresses, VotersUpdate, Prepare, PrepareReply, Accept,
                  AcceptReply, Decided, ItemsRequest, ItemsReply, ReadRequest, ReadReply, RegistryUpdate,
-                 ServersUpdate, Follow, ClaimRequest, ReleaseRequest, Votes, SnapshotRequest, SnapshotPart>;
+                 ServersUpdate, Subscribe, ClaimRequest, ReleaseRequest, Votes, SnapshotRequest, SnapshotPart>;
 
-/// One line of text, without its end. ItemsReply goes through itemsReplies() instead, which shares its text.
+/// Encodes a message as a single line without a line break. Use itemsReplies() for ItemsReply, as it shares
+/// the serialized items.
 std::string encode(const Message& message);
-/// The error names the kind of message, or that it is of none.
+/// Decodes a message. The error names the message kind, if it is known.
 Result<Message> decode(const nlohmann::json& text);
-/// The replies that carry these items, a bounded number each; one without items, if there are none.
+/// Returns the encoded replies for these items, with a bounded number of items each; a single empty reply if
+/// there are none.
 std::vector<std::shared_ptr<const std::string>> itemsReplies(const ItemsReply& head,
                                                              const std::vector<Item>& items);
-/// The name of a message's kind, for logs and counts.
+/// Name of the message kind, for logs and counters.
 std::string_view kindOf(const Message& message);
 
 nlohmann::json toJson(const VoterSet& set);
-/// Throws nlohmann's exceptions for what no process of the mesh sends.
+/// Throws a nlohmann::json exception if the input is not a valid voter set.
 VoterSet voterSetFrom(const nlohmann::json& from);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/operator_calls.cpp
+++ b/src/mesh/control/operator_calls.cpp
@@ -39,7 +39,7 @@
   held.until = now + kCallTime + kItemTime * held.order->items.size();
   // It may be only this copy that does not know the service yet.
   if (unknownService(*held.order)) {
-    held.read = reads_.join(now, set, effects);
+    held.read = reads_.request(now, set, effects);
     return;
   }
   propose(now, call, held, effects);
@@ -51,7 +51,7 @@
   Call& held = calls_[call];
   held.readsBack = true;
   held.until = now + kCallTime;
-  held.read = reads_.join(now, set, effects);
+  held.read = reads_.request(now, set, effects);
 }
 
 void OperatorCalls::propose(Span now, OperatorCallNo call, Call& held, Effects& effects) {
@@ -86,7 +86,7 @@
   for (auto at = calls_.begin(); at != calls_.end();) {
     Call& held = at->second;
     const OperatorCallNo call = at->first;
-    if (held.read == 0 || held.read > reads_.finished()) {
+    if (held.read == 0 || held.read > reads_.lastCompleted()) {
       ++at;
       continue;
     }
--- a/src/mesh/control/order.cpp
+++ b/src/mesh/control/order.cpp
@@ -1,4 +1,4 @@
-// Orders and the registers of their items (messages.hpp declares them).
+// Orders and the registers of their items; declared in messages.hpp.
 
 #include <xxhash.h>
 
@@ -9,15 +9,15 @@
 
 namespace rackroute::mesh {
 
-Span timeForSize(std::size_t items) {
-  constexpr std::size_t kSmallOrder = 20;  // items that need no time of their own
+Span extraTimeFor(std::size_t items) {
+  constexpr std::size_t kSmallOrder = 20;  // orders up to this size need no extra time
   constexpr Span kTimePerItem = std::chrono::milliseconds(2);
   return kTimePerItem * (items - std::min(items, kSmallOrder));
 }
 
 RegisterId registerOf(const Item& item) { return {item.key, item.generation}; }
 
-bool isVoterSet(const Order& order) {
+bool isVoterSetOrder(const Order& order) {
   return !order.items.empty() && order.items.front().key.kind == ItemKind::voters;
 }
 
@@ -26,9 +26,9 @@
   for (Item& item : items) {
     if (item.print != 0) continue;
     item.print = printOf(item);
-    item.wire.reset();  // it lacks the print
+    item.wire.reset();  // the serialized form lacks the hash
   }
-  // The order in which an operator lists them does not matter.
+  // Makes the id independent of the order in which the items were listed.
   std::sort(items.begin(), items.end(), [](const Item& left, const Item& right) {
     return std::tie(left.key, left.generation, left.print) <
            std::tie(right.key, right.generation, right.print);
--- a/src/mesh/control/register_acceptor.cpp
+++ b/src/mesh/control/register_acceptor.cpp
@@ -10,10 +10,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kPromiseKept = 10min;               // far longer than any ballot lasts
-constexpr std::size_t kPromisedAtMost = 100'000;   // registers; bounds memory
-constexpr std::size_t kHeldAtMost = 4096;          // orders; far more than proposers have under way
-constexpr std::size_t kRegistersAtMost = 100'000;  // of one request
+constexpr Span kPromiseRetention = 10min;               // far longer than any ballot
+constexpr std::size_t kMaxPromisedRegisters = 100'000;  // bounds memory
+constexpr std::size_t kMaxAcceptedOrders = 4096;        // far more than proposers have in flight
+constexpr std::size_t kMaxRegistersPerRequest = 100'000;
 
 std::vector<RegisterId> registersOf(const Order& order) {
   std::vector<RegisterId> registers;
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-bool disagree(const Order& left, const Order& right) {
+bool conflicts(const Order& left, const Order& right) {
   // Both are sorted by register (makeOrder).
   auto one = left.items.begin();
   auto other = right.items.begin();
@@ -46,19 +46,19 @@
 
 bool RegisterAcceptor::restore(const std::string& key, const std::string& value) {
   if (key == agreement_store::kFloorKey) {
-    floor_ = std::max(floor_, agreement_store::readBallot(value));
+    floor_ = std::max(floor_, agreement_store::parseBallot(value));
     return true;
   }
   if (key.starts_with(agreement_store::kPromisePrefix)) {
-    auto stored = agreement_store::readPromise(value);
-    Effects none;  // what is superseded here is removed from disk when its time ends
+    auto stored = agreement_store::parsePromise(value);
+    Effects ignored;  // superseded promises stay on disk until they expire
     Promise promise;
     promise.registers = std::move(stored.registers);
-    indexPromise(stored.ballot, std::move(promise), none);
+    indexPromise(stored.ballot, std::move(promise), ignored);
     return true;
   }
   if (key.starts_with(agreement_store::kOrderPrefix)) {
-    index(agreement_store::readOrder(value), Span{0});
+    indexOrder(agreement_store::parseOrder(value), Span{0});
     return true;
   }
   return false;
@@ -68,15 +68,15 @@
   for (const auto& [ballot, promise] : promises_) {
     effects.entries.emplace_back(agreement_store::promiseKey(ballot), std::nullopt);
   }
-  for (const auto& [id, held] : held_) {
+  for (const auto& [id, entry] : accepted_) {
     effects.entries.emplace_back(agreement_store::orderKey(id), std::nullopt);
   }
   effects.entries.emplace_back(agreement_store::kFloorKey, std::nullopt);
   promises_.clear();
   promisesByAge_.clear();
   promised_.clear();
-  held_.clear();
-  holders_.clear();
+  accepted_.clear();
+  ordersByRegister_.clear();
   floor_ = Ballot{};
 }
 
@@ -85,45 +85,46 @@
   if (const auto found = promised_.find(id); found != promised_.end()) {
     ballot = std::max(ballot, found->second);
   }
-  if (const auto found = holders_.find(id); found != holders_.end()) {
+  if (const auto found = ordersByRegister_.find(id); found != ordersByRegister_.end()) {
     for (const std::uint64_t order : found->second) {
-      ballot = std::max(ballot, held_.at(order).accepted.ballot);
+      ballot = std::max(ballot, accepted_.at(order).accepted.ballot);
     }
   }
   return ballot;
 }
 
-RegisterAcceptor::Verdict RegisterAcceptor::judge(const Ballot& ballot,
-                                                  const std::vector<RegisterId>& registers) const {
-  Verdict verdict;
+RegisterAcceptor::Response RegisterAcceptor::evaluate(const Ballot& ballot,
+                                                      const std::vector<RegisterId>& registers) const {
+  Response response;
   for (const RegisterId& id : registers) {
-    if (auto decided = history_->find(id)) verdict.decided.push_back(std::move(*decided));
-    if (auto later = history_->laterThan(id)) verdict.decided.push_back(std::move(*later));
-    verdict.promised = std::max(verdict.promised, highest(id));
+    if (auto decided = history_->find(id)) response.decided.push_back(std::move(*decided));
+    if (auto later = history_->laterThan(id)) response.decided.push_back(std::move(*later));
+    response.promised = std::max(response.promised, highest(id));
   }
-  verdict.granted = verdict.promised <= ballot;
-  return verdict;
+  response.granted = response.promised <= ballot;
+  return response;
 }
 
-std::optional<RegisterAcceptor::Verdict> RegisterAcceptor::promise(Span now, const Ballot& ballot,
-                                                                   const std::vector<RegisterId>& registers,
-                                                                   Effects& effects) {
-  if (registers.empty() || registers.size() > kRegistersAtMost) return std::nullopt;
+std::optional<RegisterAcceptor::Response> RegisterAcceptor::promise(Span now, const Ballot& ballot,
+                                                                    const std::vector<RegisterId>& registers,
+                                                                    Effects& effects) {
+  if (registers.empty() || registers.size() > kMaxRegistersPerRequest) return std::nullopt;
   const auto known = promises_.find(ballot);
   if (known != promises_.end() && known->second.registers != registers) return std::nullopt;
-  Verdict verdict = judge(ballot, registers);
-  if (verdict.granted) addPromise(now, ballot, registers, effects);
-  return verdict;
+  Response response = evaluate(ballot, registers);
+  if (response.granted) addPromise(now, ballot, registers, effects);
+  return response;
 }
 
 void RegisterAcceptor::addPromise(Span now, const Ballot& ballot, const std::vector<RegisterId>& registers,
                                   Effects& effects) {
-  // Also if it stands already: the write before may not be on disk yet, and the reply must wait for one.
+  // Written again for a duplicate request: the earlier write may not be durable yet, and the reply must wait
+  // for a write.
   effects.entries.emplace_back(agreement_store::promiseKey(ballot),
-                               agreement_store::promiseText({ballot, registers}));
+                               agreement_store::formatPromise({ballot, registers}));
   if (promises_.contains(ballot)) return;
-  while (!promises_.empty() && promised_.size() + registers.size() > kPromisedAtMost) {
-    forgetOldestPromise(effects);
+  while (!promises_.empty() && promised_.size() + registers.size() > kMaxPromisedRegisters) {
+    evictOldestPromise(effects);
   }
   Promise promise;
   promise.registers = registers;
@@ -137,7 +138,7 @@
     if (found != promised_.end() && found->second >= ballot) continue;
     if (found != promised_.end()) releasePromise(id, effects);
     promised_[id] = ballot;
-    ++promise.inForce;
+    ++promise.activeRegisters;
   }
   promises_.emplace(ballot, std::move(promise));
   promisesByAge_.push_back(ballot);
@@ -148,12 +149,12 @@
   if (found == promised_.end()) return;
   const auto promise = promises_.find(found->second);
   promised_.erase(found);
-  if (promise == promises_.end() || --promise->second.inForce > 0) return;
+  if (promise == promises_.end() || --promise->second.activeRegisters > 0) return;
   effects.entries.emplace_back(agreement_store::promiseKey(promise->first), std::nullopt);
   promises_.erase(promise);
 }
 
-void RegisterAcceptor::forgetOldestPromise(Effects& effects) {
+void RegisterAcceptor::evictOldestPromise(Effects& effects) {
   const Ballot ballot = promisesByAge_.front();
   promisesByAge_.pop_front();
   const auto promise = promises_.find(ballot);
@@ -165,9 +166,9 @@
   promises_.erase(promise);
   effects.entries.emplace_back(agreement_store::promiseKey(ballot), std::nullopt);
   if (ballot <= floor_) return;
-  // Guards against a request of before that promise, which comes after the memory of it ended.
+  // A delayed request with a lower ballot must still be refused after the promise is gone.
   floor_ = ballot;
-  effects.entries.emplace_back(agreement_store::kFloorKey, agreement_store::ballotText(floor_));
+  effects.entries.emplace_back(agreement_store::kFloorKey, agreement_store::formatBallot(floor_));
 }
 
 void RegisterAcceptor::expire(Span now, Effects& effects) {
@@ -177,130 +178,131 @@
       promisesByAge_.pop_front();
       continue;
     }
-    if (now - oldest->second.since < kPromiseKept) return;
-    forgetOldestPromise(effects);
+    if (now - oldest->second.since < kPromiseRetention) return;
+    evictOldestPromise(effects);
   }
 }
 
-std::optional<RegisterAcceptor::Verdict> RegisterAcceptor::accept(Span now, const Ballot& ballot,
-                                                                  const OrderPtr& order, Effects& effects) {
-  if (order->items.empty() || order->items.size() > kRegistersAtMost) return std::nullopt;
-  Verdict verdict = judge(ballot, registersOf(*order));
+std::optional<RegisterAcceptor::Response> RegisterAcceptor::accept(Span now, const Ballot& ballot,
+                                                                   const OrderPtr& order, Effects& effects) {
+  if (order->items.empty() || order->items.size() > kMaxRegistersPerRequest) return std::nullopt;
+  Response response = evaluate(ballot, registersOf(*order));
   std::size_t open = 0;
   for (const Item& item : order->items) {
     switch (history_->stateOf(item)) {
       case RegisterState::open:
         ++open;
         break;
-      case RegisterState::same:
+      case RegisterState::sameValue:
         break;
-      case RegisterState::other:
-      case RegisterState::forgotten:
-        verdict.granted = false;
+      case RegisterState::otherValue:
+      case RegisterState::expired:
+        response.granted = false;
         break;
     }
   }
-  if (open == 0) verdict.granted = false;  // all is decided already, as the reply tells
-  if (!verdict.granted) return verdict;
-  if (held_.size() >= kHeldAtMost && !held_.contains(order->id)) return std::nullopt;
-  hold(now, {ballot, order}, effects);
-  return verdict;
+  if (open == 0) response.granted = false;  // everything is decided already, which the reply reports
+  if (!response.granted) return response;
+  if (accepted_.size() >= kMaxAcceptedOrders && !accepted_.contains(order->id)) return std::nullopt;
+  store(now, {ballot, order}, effects);
+  return response;
 }
 
-void RegisterAcceptor::hold(Span now, const AcceptedOrder& accepted, Effects& effects) {
-  std::vector<std::uint64_t> disagreeing;
-  for (const AcceptedOrder& held : holding(registersOf(*accepted.order))) {
-    if (!disagree(*held.order, *accepted.order)) continue;
-    if (held.ballot > accepted.ballot) return;  // what is new had no majority
-    disagreeing.push_back(held.order->id);
+void RegisterAcceptor::store(Span now, const AcceptedOrder& accepted, Effects& effects) {
+  std::vector<std::uint64_t> conflicting;
+  for (const AcceptedOrder& entry : acceptedFor(registersOf(*accepted.order))) {
+    if (!conflicts(*entry.order, *accepted.order)) continue;
+    if (entry.ballot > accepted.ballot) return;  // the new order had no majority
+    conflicting.push_back(entry.order->id);
   }
-  for (const std::uint64_t id : disagreeing) drop(id, effects);
-  const auto same = held_.find(accepted.order->id);
-  if (same == held_.end()) {
-    index(accepted, now);
+  for (const std::uint64_t id : conflicting) drop(id, effects);
+  const auto existing = accepted_.find(accepted.order->id);
+  if (existing == accepted_.end()) {
+    indexOrder(accepted, now);
   } else {
-    same->second.accepted.ballot = std::max(same->second.accepted.ballot, accepted.ballot);
-    same->second.since = now;
+    existing->second.accepted.ballot = std::max(existing->second.accepted.ballot, accepted.ballot);
+    existing->second.lastProposed = now;
   }
-  // Also if it stands already: the write before may not be on disk yet, and the reply must wait for one.
+  // Written again for a duplicate request, because the earlier write may not be durable yet.
   effects.entries.emplace_back(agreement_store::orderKey(accepted.order->id),
-                               agreement_store::orderText(held_.at(accepted.order->id).accepted));
+                               agreement_store::formatOrder(accepted_.at(accepted.order->id).accepted));
 }
 
-void RegisterAcceptor::index(const AcceptedOrder& accepted, Span since) {
-  held_[accepted.order->id] = {accepted, since};
+void RegisterAcceptor::indexOrder(const AcceptedOrder& accepted, Span lastProposed) {
+  accepted_[accepted.order->id] = {accepted, lastProposed};
   for (const Item& item : accepted.order->items) {
-    holders_[registerOf(item)].push_back(accepted.order->id);
+    ordersByRegister_[registerOf(item)].push_back(accepted.order->id);
   }
 }
 
 void RegisterAcceptor::drop(std::uint64_t order, Effects& effects) {
-  const auto held = held_.find(order);
-  if (held == held_.end()) return;
-  for (const Item& item : held->second.accepted.order->items) {
-    const auto holders = holders_.find(registerOf(item));
-    std::erase(holders->second, order);
-    if (holders->second.empty()) holders_.erase(holders);
+  const auto entry = accepted_.find(order);
+  if (entry == accepted_.end()) return;
+  for (const Item& item : entry->second.accepted.order->items) {
+    const auto orders = ordersByRegister_.find(registerOf(item));
+    std::erase(orders->second, order);
+    if (orders->second.empty()) ordersByRegister_.erase(orders);
   }
-  held_.erase(held);
+  accepted_.erase(entry);
   effects.entries.emplace_back(agreement_store::orderKey(order), std::nullopt);
 }
 
-std::vector<OrderPtr> RegisterAcceptor::settle(const std::vector<RegisterId>& decided, Effects& effects) {
-  std::set<std::uint64_t> touched;
+std::vector<OrderPtr> RegisterAcceptor::applyDecided(const std::vector<RegisterId>& decided,
+                                                     Effects& effects) {
+  std::set<std::uint64_t> affected;
   for (const RegisterId& id : decided) {
     releasePromise(id, effects);
-    const auto holders = holders_.find(id);
-    if (holders != holders_.end()) touched.insert(holders->second.begin(), holders->second.end());
+    const auto orders = ordersByRegister_.find(id);
+    if (orders != ordersByRegister_.end()) affected.insert(orders->second.begin(), orders->second.end());
   }
-  std::vector<OrderPtr> settled;
-  for (const std::uint64_t id : touched) {
-    const OrderPtr order = held_.at(id).accepted.order;
+  std::vector<OrderPtr> resolved;
+  for (const std::uint64_t id : affected) {
+    const OrderPtr order = accepted_.at(id).accepted.order;
     bool open = false;
     bool other = false;
     for (const Item& item : order->items) {
       const RegisterState state = history_->stateOf(item);
       open = open || state == RegisterState::open;
-      other = other || state == RegisterState::other;
+      other = other || state == RegisterState::otherValue;
     }
     if (open && !other) continue;
     drop(id, effects);
-    settled.push_back(order);
+    resolved.push_back(order);
   }
-  return settled;
+  return resolved;
 }
 
-std::vector<AcceptedOrder> RegisterAcceptor::holding(const std::vector<RegisterId>& registers) const {
+std::vector<AcceptedOrder> RegisterAcceptor::acceptedFor(const std::vector<RegisterId>& registers) const {
   std::set<std::uint64_t> ids;
   for (const RegisterId& id : registers) {
-    const auto holders = holders_.find(id);
-    if (holders != holders_.end()) ids.insert(holders->second.begin(), holders->second.end());
+    const auto orders = ordersByRegister_.find(id);
+    if (orders != ordersByRegister_.end()) ids.insert(orders->second.begin(), orders->second.end());
   }
-  return acceptedOf(ids);
+  return ordersWithIds(ids);
 }
 
-std::vector<AcceptedOrder> RegisterAcceptor::holdingOrOvertaking(
+std::vector<AcceptedOrder> RegisterAcceptor::acceptedForOrLater(
     const std::vector<RegisterId>& registers) const {
   std::set<std::uint64_t> ids;
   for (const RegisterId& id : registers) {
     // Registers are sorted by item, then by version.
-    for (auto holders = holders_.lower_bound(id); holders != holders_.end(); ++holders) {
-      if (holders->first.item != id.item) break;
-      ids.insert(holders->second.begin(), holders->second.end());
+    for (auto orders = ordersByRegister_.lower_bound(id); orders != ordersByRegister_.end(); ++orders) {
+      if (orders->first.item != id.item) break;
+      ids.insert(orders->second.begin(), orders->second.end());
     }
   }
-  return acceptedOf(ids);
+  return ordersWithIds(ids);
 }
 
-std::vector<AcceptedOrder> RegisterAcceptor::acceptedOf(const std::set<std::uint64_t>& ids) const {
+std::vector<AcceptedOrder> RegisterAcceptor::ordersWithIds(const std::set<std::uint64_t>& ids) const {
   std::vector<AcceptedOrder> orders;
-  for (const std::uint64_t id : ids) orders.push_back(held_.at(id).accepted);
+  for (const std::uint64_t id : ids) orders.push_back(accepted_.at(id).accepted);
   return orders;
 }
 
 void RegisterAcceptor::touch(Span now, std::uint64_t order) {
-  const auto held = held_.find(order);
-  if (held != held_.end()) held->second.since = now;
+  const auto entry = accepted_.find(order);
+  if (entry != accepted_.end()) entry->second.lastProposed = now;
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/register_acceptor.hpp
+++ b/src/mesh/control/register_acceptor.hpp
@@ -1,13 +1,12 @@
 #pragma once
 
-// The voter's half of the agreement: which ballots this process has promised for which registers, and which
-// orders it has accepted and does not know to be decided. It owns both. An order is accepted for all its
-// registers or for none. Held orders that overlap agree on what they say of the registers they share: when
-// one is accepted that disagrees with a held one, the held one can't have had a majority at its ballot (else
-// the other would never have been proposed) and is dropped.
+// The acceptor role of the agreement: stores the ballots that this process has promised per register, and the
+// orders that it has accepted and does not know to be decided. An order is accepted for all of its registers
+// or for none. Accepted orders that share registers have equal values for them: if an order is accepted that
+// conflicts with an earlier accepted one, the earlier one cannot have had a majority at its ballot, because
+// otherwise the new one would not have been proposed, and it is dropped.
 //
-// It must never go below a promise: when the memory of one ends, its ballot becomes a floor for all
-// registers.
+// A promise must never be violated: when one is evicted, its ballot becomes a lower bound for all registers.
 
 #include <deque>
 #include <map>
@@ -22,76 +21,79 @@
 
 namespace rackroute::mesh {
 
-/// Whether two orders give different values to a register that both hold.
-bool disagree(const Order& left, const Order& right);
+/// Whether two orders have different values for a register that both contain.
+bool conflicts(const Order& left, const Order& right);
 
 class RegisterAcceptor {
  public:
-  struct Verdict {
+  struct Response {
     bool granted = false;
-    Ballot promised;                       // refused: the highest that stands in the way
-    std::vector<DecidedRegister> decided;  // of the registers asked for, and what has overtaken them
+    Ballot promised;  // highest ballot promised or accepted for any of the registers
+    std::vector<DecidedRegister>
+        decided;  // decisions for the registers, and later versions that supersede them
   };
-  struct Held {
+  struct AcceptedEntry {
     AcceptedOrder accepted;
-    Span since{};  // last proposed here; of uptime
+    Span lastProposed{};  // uptime at which it was last proposed or accepted here
   };
 
-  /// The history must outlive this.
+  /// `history` must outlive this object.
   explicit RegisterAcceptor(const DecidedHistory& history) : history_(&history) {}
 
-  /// False: the entry is none of its own.
+  /// Returns false if the key does not belong to the acceptor.
   bool restore(const std::string& key, const std::string& value);
-  /// Forgets all promises and accepted orders, on disk too.
+  /// Discards all promises and accepted orders, also on disk.
   void reset(Effects& effects);
 
-  /// Nothing: there is no room for it, or the request is malformed; no reply.
-  std::optional<Verdict> promise(Span now, const Ballot& ballot, const std::vector<RegisterId>& registers,
-                                 Effects& effects);
-  std::optional<Verdict> accept(Span now, const Ballot& ballot, const OrderPtr& order, Effects& effects);
-  /// Holds what another voter has accepted as if it were accepted here, though nobody is told so.
-  void hold(Span now, const AcceptedOrder& accepted, Effects& effects);
-  /// Registers became decided in the history. The orders that are undecided no more are returned, and held no
-  /// more.
-  std::vector<OrderPtr> settle(const std::vector<RegisterId>& decided, Effects& effects);
-  /// Ends promises that are old.
+  /// Handles a Prepare or an Accept. Returns nothing, and sends no reply, if the request is malformed or
+  /// capacity is exhausted.
+  std::optional<Response> promise(Span now, const Ballot& ballot, const std::vector<RegisterId>& registers,
+                                  Effects& effects);
+  std::optional<Response> accept(Span now, const Ballot& ballot, const OrderPtr& order, Effects& effects);
+  /// Stores an order that another voter has accepted as if it had been accepted here. No reply is sent for
+  /// it.
+  void store(Span now, const AcceptedOrder& accepted, Effects& effects);
+  /// Releases promises for registers that became decided in the history. Removes and returns the accepted
+  /// orders that are no longer undecided.
+  std::vector<OrderPtr> applyDecided(const std::vector<RegisterId>& decided, Effects& effects);
+  /// Evicts old promises.
   void expire(Span now, Effects& effects);
 
-  /// Held orders that have any of the registers.
-  [[nodiscard]] std::vector<AcceptedOrder> holding(const std::vector<RegisterId>& registers) const;
-  /// These, and held orders that have a later version of the same item.
-  [[nodiscard]] std::vector<AcceptedOrder> holdingOrOvertaking(
-      const std::vector<RegisterId>& registers) const;
-  [[nodiscard]] const std::map<std::uint64_t, Held>& held() const { return held_; }
-  /// Proposals for it begin; whoever completes silent orders waits again.
+  /// Accepted orders that contain any of the registers.
+  [[nodiscard]] std::vector<AcceptedOrder> acceptedFor(const std::vector<RegisterId>& registers) const;
+  /// As acceptedFor(), and also accepted orders that contain a later version of one of the items.
+  [[nodiscard]] std::vector<AcceptedOrder> acceptedForOrLater(const std::vector<RegisterId>& registers) const;
+  [[nodiscard]] const std::map<std::uint64_t, AcceptedEntry>& acceptedOrders() const { return accepted_; }
+  /// Restarts the stall timer of an order because it is being proposed.
   void touch(Span now, std::uint64_t order);
   [[nodiscard]] std::size_t promisedRegisters() const { return promised_.size(); }
 
  private:
-  /// The registers that one ballot was promised for, one entry on disk.
+  /// The registers for which one ballot was promised; stored as one entry.
   struct Promise {
     std::vector<RegisterId> registers;
-    std::size_t inForce = 0;  // of them, those for which it is the highest
+    std::size_t activeRegisters = 0;  // registers for which this is the highest promise
     Span since{};
   };
 
   [[nodiscard]] Ballot highest(const RegisterId& id) const;
-  [[nodiscard]] Verdict judge(const Ballot& ballot, const std::vector<RegisterId>& registers) const;
+  [[nodiscard]] Response evaluate(const Ballot& ballot, const std::vector<RegisterId>& registers) const;
   void addPromise(Span now, const Ballot& ballot, const std::vector<RegisterId>& registers, Effects& effects);
   void releasePromise(const RegisterId& id, Effects& effects);
-  void forgetOldestPromise(Effects& effects);
+  void evictOldestPromise(Effects& effects);
   void indexPromise(const Ballot& ballot, Promise promise, Effects& effects);
   void drop(std::uint64_t order, Effects& effects);
-  void index(const AcceptedOrder& accepted, Span since);
-  [[nodiscard]] std::vector<AcceptedOrder> acceptedOf(const std::set<std::uint64_t>& ids) const;
+  void indexOrder(const AcceptedOrder& accepted, Span lastProposed);
+  [[nodiscard]] std::vector<AcceptedOrder> ordersWithIds(const std::set<std::uint64_t>& ids) const;
 
   const DecidedHistory* history_;
   std::map<Ballot, Promise> promises_;
-  std::deque<Ballot> promisesByAge_;  // oldest first; some may have gone
+  std::deque<Ballot> promisesByAge_;  // oldest first; may contain ballots without a promise
   std::map<RegisterId, Ballot> promised_;
-  Ballot floor_;  // no lower ballot is granted for any register
-  std::map<std::uint64_t, Held> held_;
-  std::map<RegisterId, std::vector<std::uint64_t>> holders_;  // held orders that have the register
+  Ballot floor_;  // lower ballots are refused for all registers
+  std::map<std::uint64_t, AcceptedEntry> accepted_;
+  std::map<RegisterId, std::vector<std::uint64_t>>
+      ordersByRegister_;  // accepted orders that contain the register
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/server_news.cpp
+++ b/src/mesh/control/server_news.cpp
@@ -27,7 +27,7 @@
   out.controls.servers.insert(out.controls.servers.end(), fresh.begin(), fresh.end());
 }
 
-void ServerNews::follow(SessionNo session, const Follow& follow, Out& out) {
+void ServerNews::follow(SessionNo session, const Subscribe& follow, Out& out) {
   std::set<ServiceName>& held = follows_[session];
   std::set<ServiceName> services;
   ServersUpdate update;
--- a/src/mesh/control/server_news.hpp
+++ b/src/mesh/control/server_news.hpp
@@ -26,7 +26,7 @@
   void sidecarLeft(Span now, SessionNo session, const NodeName& node, Out& out);
   /// A sidecar tells of its server.
   void told(const ServersUpdate& update, Out& out);
-  void follow(SessionNo session, const Follow& follow, Out& out);
+  void follow(SessionNo session, const Subscribe& follow, Out& out);
   /// Another control process tells of its sidecars and of servers.
   void told(Span now, const Address& teller, const RegistryUpdate& update, Out& out);
   void tellerLost(Span now, const Address& teller, Out& out);
--- a/src/mesh/control/voter_recovery.cpp
+++ b/src/mesh/control/voter_recovery.cpp
@@ -10,69 +10,68 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kAskAgain = 700ms;           // without a further part, a voter is asked anew
-constexpr Span kAskFirst = 150ms;           // without a first one: it may not have had the set on disk yet
-constexpr std::size_t kPartsATick = 4;      // each of at most 64 KB; about half of a slow machine's processor
-constexpr std::size_t kMostReceivers = 16;  // more than any set has voters that recover
+constexpr Span kRetryInterval = 700ms;         // after the last part received
+constexpr Span kInitialRetryInterval = 150ms;  // the voter may not have stored the set yet
+constexpr std::size_t kPartsPerTick = 4;       // at most 64 KB each
+constexpr std::size_t kMaxReceivers = 16;      // exceeds the number of recovering voters in any set
 
 }  // namespace
 
-void VoterRecovery::begin(Span, const VoterSet& set, bool ownCounts) {
-  // Guards against a set that follows before the reading for the one before is over: the larger quorum
-  // counts.
-  needed_ = std::max(running_ ? needed_ : 0, set.readQuorum());
+void VoterRecovery::begin(Span, const VoterSet& set, bool countSelf) {
+  // If a new set arrives before recovery for the previous one is complete, the larger quorum applies.
+  requiredVoters_ = std::max(running_ ? requiredVoters_ : 0, set.readQuorum());
   running_ = true;
   set_ = set;
   progress_.clear();
-  done_.clear();
-  if (ownCounts) done_.insert(self_);
+  completed_.clear();
+  if (countSelf) completed_.insert(self_);
 }
 
 void VoterRecovery::reincarnate(const VoterId& self) {
   self_ = self;
   running_ = false;
-  needed_ = 0;
+  requiredVoters_ = 0;
   progress_.clear();
-  done_.clear();
+  completed_.clear();
 }
 
 void VoterRecovery::tick(Span now, Effects& effects) {
   if (!running_ || complete()) return;
   for (const VoterId& voter : set_.voters) {
-    if (voter == self_ || done_.count(voter) > 0) continue;
+    if (voter == self_ || completed_.count(voter) > 0) continue;
     Progress& progress = progress_[voter];
-    const Span patience = progress.nextPart == 0 ? progress.firstAskAgain : kAskAgain;
-    if (progress.asked && now < progress.heardAt + patience) continue;
-    const Span longer = std::min(2 * progress.firstAskAgain, kAskAgain);
-    progress = {0, now, true, progress.asked ? longer : kAskFirst};
+    const Span timeout = progress.nextPart == 0 ? progress.firstPartRetry : kRetryInterval;
+    if (progress.requested && now < progress.lastProgressAt + timeout) continue;
+    const Span backoff = std::min(2 * progress.firstPartRetry, kRetryInterval);
+    progress = {0, now, true, progress.requested ? backoff : kInitialRetryInterval};
     effects.messages.push_back({voter.at, SnapshotRequest{set_.epoch}});
   }
 }
 
-Result<void> VoterRecovery::heard(Span now, const SnapshotPart& part, Span uptime, Promises& promises,
-                                  Agreement& agreement, Effects& effects) {
+Result<void> VoterRecovery::handle(Span now, const SnapshotPart& part, Span uptime, Promises& promises,
+                                   Agreement& agreement, Effects& effects) {
   if (!running_ || part.epoch < set_.epoch || !set_.contains(part.voter) || part.voter == self_)
     return boost::outcome_v2::success();
   Progress& progress = progress_[part.voter];
-  if (part.part != progress.nextPart) return boost::outcome_v2::success();  // of a row that was begun anew
+  if (part.part != progress.nextPart) return boost::outcome_v2::success();  // part of an earlier transfer
   if (!part.promises.empty()) {
     auto read = readSnapshot(part.promises, uptime, promises);
     if (!read) {
-      progress = {0, now, true, kAskAgain};
+      progress = {0, now, true, kRetryInterval};
       return failure("recovery", read.error().what, part.voter.at.value);
     }
   }
   ++progress.nextPart;
-  progress.heardAt = now;
+  progress.lastProgressAt = now;
   if (!part.last) return boost::outcome_v2::success();
-  agreement.learn(now, part.accepted, part.decided, effects);
-  done_.insert(part.voter);
+  agreement.importState(now, part.accepted, part.decided, effects);
+  completed_.insert(part.voter);
   return boost::outcome_v2::success();
 }
 
 void SnapshotSender::begin(const Address& to, Epoch epoch, const VoterId& self, const Promises& promises,
                            Span uptime, const Agreement& agreement) {
-  if (sending_.count(to) == 0 && sending_.size() >= kMostReceivers) return;
+  if (sending_.count(to) == 0 && sending_.size() >= kMaxReceivers) return;
   Sending sending;
   for (auto& bytes : snapshotOf(promises, uptime)) {
     SnapshotPart part;
@@ -95,7 +94,7 @@
 void SnapshotSender::tick(Effects& effects) {
   for (auto at = sending_.begin(); at != sending_.end();) {
     Sending& sending = at->second;
-    for (std::size_t i = 0; i < kPartsATick && sending.next < sending.parts.size(); ++i)
+    for (std::size_t i = 0; i < kPartsPerTick && sending.next < sending.parts.size(); ++i)
       effects.messages.push_back({at->first, std::move(sending.parts[sending.next++])});
     at = sending.next >= sending.parts.size() ? sending_.erase(at) : std::next(at);
   }
--- a/src/mesh/control/voter_recovery.hpp
+++ b/src/mesh/control/voter_recovery.hpp
@@ -1,9 +1,10 @@
 #pragma once
 
-// Recovery of a voter that must read before it votes: it asks the other voters of the set for all promises on
-// keys and all that they accepted, and is done once as many as readQuorum() have told everything while in
-// that epoch. They vote in no earlier epoch by then, so nothing that an earlier majority granted can be
-// missing. It owns what has come so far of each; a state machine without I/O or clock.
+// Recovery of a voter that must read the state of other voters before it votes. It requests all promises on
+// keys and all accepted orders from the other voters of the set, and is complete once readQuorum() voters
+// have sent their full state while in that epoch. These voters no longer vote in earlier epochs, so the state
+// includes everything that an earlier majority granted. Tracks the progress per voter; a state machine
+// without I/O or a clock.
 
 #include <cstdint>
 #include <map>
@@ -20,43 +21,44 @@
  public:
   explicit VoterRecovery(const VoterId& self) : self_(self) {}
 
-  /// Begins (anew) for that set; a quorum of an earlier unfinished recovery still counts.
-  /// ownCounts: this process held state in the epoch just before, so that it is one of those that are read.
-  void begin(Span now, const VoterSet& set, bool ownCounts);
+  /// Starts or restarts recovery for the set. A larger read quorum of an earlier unfinished recovery remains
+  /// in force. countSelf: this process had complete state in the previous epoch, so it counts as one of the
+  /// voters read.
+  void begin(Span now, const VoterSet& set, bool countSelf);
   void stop() { running_ = false; }
   [[nodiscard]] bool running() const { return running_; }
-  /// What is to be asked of whom.
+  /// Requests state from voters that have not answered.
   void tick(Span now, Effects& effects);
-  /// A part of a voter's state. The error names the peer; what came of it counts for nothing then.
-  Result<void> heard(Span now, const SnapshotPart& part, Span uptime, Promises& promises,
-                     Agreement& agreement, Effects& effects);
-  /// As many as are needed have told everything.
-  [[nodiscard]] bool complete() const { return running_ && done_.size() >= needed_; }
+  /// Handles a part of a voter's state. On an error, which names the peer, that voter's transfer starts over.
+  Result<void> handle(Span now, const SnapshotPart& part, Span uptime, Promises& promises,
+                      Agreement& agreement, Effects& effects);
+  /// Whether enough voters have sent their full state.
+  [[nodiscard]] bool complete() const { return running_ && completed_.size() >= requiredVoters_; }
   void reincarnate(const VoterId& self);
 
  private:
   struct Progress {
     std::uint64_t nextPart = 0;
-    Span heardAt{};
-    bool asked = false;
-    Span firstAskAgain{};  // until it is asked again for the first part
+    Span lastProgressAt{};
+    bool requested = false;
+    Span firstPartRetry{};  // retry interval for the first part
   };
   VoterId self_;
   bool running_ = false;
   VoterSet set_;
-  std::size_t needed_ = 0;
+  std::size_t requiredVoters_ = 0;
   std::map<VoterId, Progress> progress_;
-  std::set<VoterId> done_;
+  std::set<VoterId> completed_;
 };
 
-/// The other side: parts of this process's state for a voter that recovers, a bounded number at a time, so
-/// that votes go on between them.
+/// The sending side: sends this process's state to recovering voters in parts, a bounded number per tick, so
+/// that voting continues in between.
 class SnapshotSender {
  public:
-  /// Makes the snapshot for that peer now; an older one for it is dropped.
+  /// Takes a snapshot for the peer; replaces an unfinished one.
   void begin(const Address& to, Epoch epoch, const VoterId& self, const Promises& promises, Span uptime,
              const Agreement& agreement);
-  /// The next parts for everyone.
+  /// Sends the next parts to all receivers.
   void tick(Effects& effects);
   void forget(const Address& to) { sending_.erase(to); }
   void clear() { sending_.clear(); }
--- a/src/mesh/control/voter_set.cpp
+++ b/src/mesh/control/voter_set.cpp
@@ -5,7 +5,7 @@
 namespace rackroute::mesh {
 namespace {
 
-/// The set that follows, still with the same voters.
+/// The next set, still with the same voters.
 VoterSet successorOf(const VoterSet& set) {
   VoterSet next;
   next.epoch = {set.epoch.value + 1};
@@ -14,8 +14,8 @@
   return next;
 }
 
-void insert(std::vector<VoterId>& voters, const VoterId& joins) {
-  voters.insert(std::upper_bound(voters.begin(), voters.end(), joins), joins);
+void insert(std::vector<VoterId>& voters, const VoterId& joining) {
+  voters.insert(std::upper_bound(voters.begin(), voters.end(), joining), joining);
 }
 
 std::vector<VoterId> votersNotIn(const VoterSet& set, const VoterSet& other) {
@@ -29,8 +29,8 @@
 }  // namespace
 
 bool VoterSet::contains(const VoterId& voter) const {
-  const VoterId* held = find(voter.at);
-  return held != nullptr && *held == voter;
+  const VoterId* existing = find(voter.at);
+  return existing != nullptr && *existing == voter;
 }
 
 bool VoterSet::mustRead(const VoterId& voter) const {
@@ -43,25 +43,25 @@
   return found == voters.end() ? nullptr : &*found;
 }
 
-VoterSet withVoter(const VoterSet& set, const VoterId& joins) {
+VoterSet withVoter(const VoterSet& set, const VoterId& joining) {
   VoterSet next = successorOf(set);
-  insert(next.voters, joins);
-  next.readers = {joins};
+  insert(next.voters, joining);
+  next.readers = {joining};
   return next;
 }
 
-VoterSet withoutVoter(const VoterSet& set, const VoterId& leaves) {
+VoterSet withoutVoter(const VoterSet& set, const VoterId& leaving) {
   VoterSet next = successorOf(set);
-  std::erase(next.voters, leaves);
+  std::erase(next.voters, leaving);
   next.readers = next.voters;
   return next;
 }
 
-VoterSet withReplacement(const VoterSet& set, const VoterId& leaves, const VoterId& joins) {
+VoterSet withReplacement(const VoterSet& set, const VoterId& leaving, const VoterId& joining) {
   VoterSet next = successorOf(set);
-  std::erase(next.voters, leaves);
-  insert(next.voters, joins);
-  next.readers = {joins};
+  std::erase(next.voters, leaving);
+  insert(next.voters, joining);
+  next.readers = {joining};
   return next;
 }
 
@@ -69,14 +69,14 @@
   const std::vector<VoterId> left = votersNotIn(from, to);
   const std::vector<VoterId> joined = votersNotIn(to, from);
   if (left.size() > 1 || joined.size() > 1) return false;
-  // Guards against a joiner at the address of a voter that stays: there is one voter for each address.
+  // A voter must not join at the address of one that stays: addresses are unique within a set.
   if (!joined.empty()) {
-    const VoterId* held = from.find(joined.front().at);
-    if (held != nullptr && (left.empty() || *held != left.front())) return false;
+    const VoterId* existing = from.find(joined.front().at);
+    if (existing != nullptr && (left.empty() || *existing != left.front())) return false;
   }
   if (!left.empty() && !joined.empty()) return to == withReplacement(from, left.front(), joined.front());
   if (!joined.empty()) return to == withVoter(from, joined.front());
-  // The last voter never leaves: nobody could agree on anything any more.
+  // The last voter cannot be removed, as no majority would remain to agree on anything.
   if (!left.empty()) return from.voters.size() > 1 && to == withoutVoter(from, left.front());
   return false;
 }
--- a/src/mesh/sidecar/control_client.cpp
+++ b/src/mesh/sidecar/control_client.cpp
@@ -494,7 +494,7 @@
     if (!control.up) continue;
     std::set<ServiceName>& wanted = homes[at];
     if (wanted == control.followed) continue;
-    Follow follow;
+    Subscribe follow;
     follow.services.assign(wanted.begin(), wanted.end());
     acts.push_back(sending(at, follow));
     control.followed = std::move(wanted);
