--- a/tests/control_agreement_test.cpp
+++ b/tests/control_agreement_test.cpp
@@ -27,15 +27,15 @@
 Span millis(std::uint64_t count) { return std::chrono::milliseconds(count); }
 
 struct Faults {
-  double lost = 0.1;
-  double twice = 0.1;
+  double lossRate = 0.1;
+  double duplicationRate = 0.1;
   bool restarts = true;
   bool setChanges = true;
-  bool equalItems = false;  // of different orders
-  // What the checks must find: each breaks a rule that whoever runs an Agreement must keep.
-  bool tellsBeforeWrite = false;
-  bool joinsWithoutReading = false;
-  bool wipedKeepsIncarnation = false;
+  bool equalItems = false;  // different orders may contain equal items
+  // Protocol violations that the checks must detect.
+  bool repliesBeforeWrite = false;
+  bool votesWithoutReading = false;
+  bool keepsIncarnationAfterWipe = false;
 };
 
 struct Process {
@@ -43,18 +43,19 @@
   std::unique_ptr<Agreement> agreement;
   Items items;
   std::map<std::string, std::string> disk;
-  std::uint64_t life = 0;  // what was meant for an earlier one is lost
+  std::uint64_t startCount = 0;  // messages and writes from before a restart are lost
   Span lastWrite{};
-  VoterSet set;            // adopted, and on disk at once
-  bool holdsState = true;  // likewise
+  VoterSet set;            // adopted and stored immediately
+  bool holdsState = true;  // stored immediately
   std::set<Address> read;
 };
 
-/// Processes on a network and disks of drawn delays; it keeps the books of what was accepted durably where.
+/// Simulates processes with random network and disk delays, and tracks which process has durably accepted
+/// what.
 class Cluster {
  public:
   Cluster(std::uint64_t seed, Faults faults, std::size_t voters = 3)
-      : faults_(faults), chance_(seed), processes_(voters + 1) {
+      : faults_(faults), random_(seed), processes_(voters + 1) {
     set_.epoch = {1};
     for (std::size_t i = 0; i < processes_.size(); ++i) {
       processes_[i].id = {{"10.0.0." + std::to_string(i) + ":1"}, {++lastIncarnation_}};
@@ -70,40 +71,40 @@
 
   void propose(std::size_t at, const OrderPtr& order) {
     const std::uint64_t call = ++lastCall_;
-    calls_[call] = {at, processes_[at].life, order, std::nullopt};
+    calls_[call] = {at, processes_[at].startCount, order, std::nullopt};
     Effects effects;
     processes_[at].agreement->propose(now_, call, order, effects);
-    take(processes_[at], effects);
+    apply(processes_[at], effects);
   }
 
   void run(Span until) {
     while (now_ < until) {
       while (!events_.empty() && events_.top().at <= now_) {
-        const auto what = events_.top().what;
+        const auto action = events_.top().action;
         events_.pop();
-        what();
+        action();
       }
-      if (now_ % Span(20ms) == Span{0}) everyTick();
+      if (now_ % Span(20ms) == Span{0}) tickAll();
       now_ += Span(1ms);
     }
   }
 
   void restart(Process& process) { boot(process); }
 
-  /// The disk is lost; another incarnation takes its place in the set.
+  /// Erases the disk; the process rejoins the set with a new incarnation.
   void wipe(std::size_t at) {
     Process& process = processes_[at];
     const VoterId old = process.id;
     process.disk.clear();
     process.items = {};
-    if (!faults_.wipedKeepsIncarnation) {
+    if (!faults_.keepsIncarnationAfterWipe) {
       process.id.incarnation = {++lastIncarnation_};
-      process.holdsState = faults_.joinsWithoutReading;
+      process.holdsState = faults_.votesWithoutReading;
       process.read.clear();
     }
     boot(process);
     if (process.id == old || !set_.contains(old)) return;
-    next([&](VoterSet& set) {
+    installNext([&](VoterSet& set) {
       *std::find(set.voters.begin(), set.voters.end(), old) = process.id;
       set.readers = {process.id};
     });
@@ -111,7 +112,7 @@
   void addOrRemoveLast() {
     Process& last = processes_.back();
     const bool removes = set_.contains(last.id);
-    next([&](VoterSet& set) {
+    installNext([&](VoterSet& set) {
       set.readers = {last.id};
       if (removes) std::erase(set.voters, last.id);
       if (removes) set.readers = set.voters;
@@ -119,20 +120,21 @@
     });
     for (Process& process : processes_) {
       if (!set_.mustRead(process.id)) continue;
-      process.holdsState = faults_.joinsWithoutReading;
+      process.holdsState = faults_.votesWithoutReading;
       process.read.clear();
-      if (removes) process.read.insert(process.id.at);  // its own state is that of a voter of the set before
+      if (removes)
+        process.read.insert(process.id.at);  // its own state is that of a voter of the previous set
     }
   }
-  /// The next set may follow only when all that must read have read.
+  /// A further set may be installed only when all readers of the current one have read.
   [[nodiscard]] bool stable() const {
     return std::all_of(processes_.begin(), processes_.end(), [this](const Process& process) {
       return !set_.contains(process.id) || (process.holdsState && process.set.epoch == set_.epoch);
     });
   }
 
-  /// One day of drawn load and trouble, then calm.
-  void day() {
+  /// Runs a phase of random load and faults, followed by a phase without faults.
+  void runScenario() {
     for (std::uint64_t i = 0; i < 40; ++i) {
       run(now_ + millis(draw(60)));
       if (draw(8) == 0 && faults_.restarts) restart(processes_[draw(processes_.size())]);
@@ -140,7 +142,7 @@
         draw(3) == 0 ? addOrRemoveLast() : wipe(draw(processes_.size()));
       }
       if (!orders_.empty() && draw(6) == 0) {
-        propose(draw(processes_.size()), orders_[draw(orders_.size())]);  // the same again, anywhere
+        propose(draw(processes_.size()), orders_[draw(orders_.size())]);  // a repeated call, at any process
         continue;
       }
       std::map<ItemKey, Item> items;
@@ -155,16 +157,17 @@
       propose(draw(processes_.size()), orders_.back());
       if (draw(3) == 0) propose(draw(processes_.size()), orders_.back());
     }
-    faults_.lost = faults_.twice = 0;
+    faults_.lossRate = faults_.duplicationRate = 0;
     run(now_ + Span(12s));
-    judgeCalls();
+    checkCalls();
   }
 
-  void judgeCalls() {
+  void checkCalls() {
     for (const auto& [number, call] : calls_) {
-      if (call.life != processes_[call.at].life) continue;  // whoever asked is gone
+      if (call.startCount != processes_[call.at].startCount)
+        continue;  // the process has restarted since the call
       if (!call.result) {
-        fault("a call has no end");
+        reportViolation("call without an outcome");
         continue;
       }
       std::size_t same = 0;
@@ -174,96 +177,101 @@
         if (found != chosen_.end()) ++(found->second == item.print ? same : other);
       }
       if (*call.result == OrderResult::decided && same != call.order->items.size())
-        fault("an acknowledged order is not in force whole");
-      if (*call.result == OrderResult::conflict && other == 0) fault("a conflict without another value");
+        reportViolation("acknowledged order not fully decided");
+      if (*call.result == OrderResult::conflict && other == 0)
+        reportViolation("conflict reported without a conflicting decision");
     }
   }
 
-  [[nodiscard]] const std::vector<std::string>& faults() const { return found_; }
+  [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
   [[nodiscard]] std::optional<OrderResult> resultOf(std::uint64_t call) const {
     return calls_.at(call).result;
   }
   [[nodiscard]] std::vector<Process>& processes() { return processes_; }
   [[nodiscard]] std::size_t chosen() const { return chosen_.size(); }
   [[nodiscard]] std::uint64_t draw(std::uint64_t below) {
-    return std::uniform_int_distribution<std::uint64_t>(0, below - 1)(chance_);
+    return std::uniform_int_distribution<std::uint64_t>(0, below - 1)(random_);
   }
 
  private:
   struct Call {
     std::size_t at;
-    std::uint64_t life;
+    std::uint64_t startCount;
     OrderPtr order;
     std::optional<OrderResult> result;
   };
   struct Event {
     Span at;
     std::uint64_t number;
-    std::function<void()> what;
+    std::function<void()> action;
     bool operator<(const Event& other) const {
       return std::tie(at, number) > std::tie(other.at, other.number);
     }
   };
 
-  void fault(const std::string& what) { found_.push_back(what); }
-  bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(chance_) < share; }
-  void at(Span when, std::function<void()> what) { events_.push({when, ++lastEvent_, std::move(what)}); }
+  void reportViolation(const std::string& violation) { violations_.push_back(violation); }
+  bool chance(double probability) {
+    return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
+  }
+  void at(Span when, std::function<void()> action) { events_.push({when, ++lastEvent_, std::move(action)}); }
 
   void boot(Process& process) {
-    ++process.life;
+    ++process.startCount;
     process.lastWrite = now_;
     process.items = {};
-    process.agreement = std::make_unique<Agreement>(Agreement::Built{
+    process.agreement = std::make_unique<Agreement>(Agreement::Config{
         process.id, draw(1'000'000'000), &process.items, [](const VoterSet&, bool) { return true; }});
     for (const auto& [key, value] : process.disk) {
       if (!process.agreement->restore(key, value))
         process.items.merge(itemFrom(nlohmann::json::parse(value)));
     }
     Effects effects;
-    process.agreement->voters(process.set, now_, effects);
-    process.agreement->mayVote(process.holdsState);
-    take(process, effects);
+    process.agreement->setVoters(process.set, now_, effects);
+    process.agreement->setMayVote(process.holdsState);
+    apply(process, effects);
   }
 
   template <class Change>
-  void next(Change change) {
+  void installNext(Change change) {
     set_.previousSize = set_.voters.size();
     ++set_.epoch.value;
     change(set_);
     sets_[set_.epoch.value] = set_;
   }
 
-  /// Whoever runs an Agreement does this with its effects. Entries that only copy acceptances of others don't
-  /// count as such.
-  void take(Process& process, const Effects& effects, std::vector<Item> merged = {}, bool copies = false) {
+  /// Carries out the effects as a control process does. Entries that only import other voters' acceptances do
+  /// not count as acceptances of this process.
+  void apply(Process& process, const Effects& effects, std::vector<Item> merged = {}, bool imported = false) {
     for (const Item& item : effects.decided) process.items.merge(item);
     merged.insert(merged.end(), effects.decided.begin(), effects.decided.end());
-    judgeForce(process, merged);
+    checkApplied(process, merged);
     std::vector<StoreEntry> entries = effects.entries;
     for (const Item& item : merged) entries.emplace_back("i/" + textOf(item.key), wireOf(item));
     for (const Envelope& envelope : effects.messages) send(process, envelope);
     for (const OrderOutcome& outcome : effects.outcomes) calls_.at(outcome.call).result = outcome.result;
-    if (faults_.tellsBeforeWrite) {
+    if (faults_.repliesBeforeWrite) {
       for (const Envelope& envelope : effects.afterWrite) send(process, envelope);
     }
     if (entries.empty()) return;
     process.lastWrite = std::max(process.lastWrite, now_) + millis(draw(6));
-    at(process.lastWrite, [this, &process, life = process.life, entries, copies, later = effects.afterWrite] {
-      if (life != process.life) return;
-      for (const auto& [key, value] : entries) write(process, key, value, copies);
-      if (faults_.tellsBeforeWrite) return;
-      for (const Envelope& envelope : later) send(process, envelope);
-    });
+    at(process.lastWrite,
+       [this, &process, startCount = process.startCount, entries, imported, later = effects.afterWrite] {
+         if (startCount != process.startCount) return;
+         for (const auto& [key, value] : entries) write(process, key, value, imported);
+         if (faults_.repliesBeforeWrite) return;
+         for (const Envelope& envelope : later) send(process, envelope);
+       });
   }
 
-  void write(Process& process, const std::string& key, const std::optional<std::string>& value, bool copies) {
+  void write(Process& process, const std::string& key, const std::optional<std::string>& value,
+             bool imported) {
     if (!value) {
       process.disk.erase(key);
       return;
     }
     process.disk[key] = *value;
-    if (copies || !key.starts_with(agreement_store::kOrderPrefix)) return;
-    const AcceptedOrder accepted = agreement_store::readOrder(*value);
+    if (imported || !key.starts_with(agreement_store::kOrderPrefix)) return;
+    const AcceptedOrder accepted = agreement_store::parseOrder(*value);
     const VoterSet& set = sets_.at(epochOf(accepted.ballot).value);
     if (!set.contains(process.id)) return;
     auto& voters = acceptedBy_[accepted.ballot];
@@ -271,22 +279,23 @@
     if (voters.size() < set.quorum()) return;
     for (const Item& item : accepted.order->items) {
       if (chosen_.emplace(registerOf(item), item.print).first->second != item.print)
-        fault("two values have had a majority");
+        reportViolation("two values accepted by a majority");
     }
   }
 
-  void judgeForce(const Process& process, const std::vector<Item>& items) {
+  void checkApplied(const Process& process, const std::vector<Item>& items) {
     for (const Item& item : items) {
       const auto found = chosen_.find(registerOf(item));
-      if (found == chosen_.end()) fault("in force before a majority accepted it durably");
-      if (found != chosen_.end() && found->second != item.print) fault("another value is in force");
+      if (found == chosen_.end()) reportViolation("item applied before a majority durably accepted it");
+      if (found != chosen_.end() && found->second != item.print)
+        reportViolation("item applied with a value that was not chosen");
     }
-    if (faults_.equalItems) return;  // an order's item may be in force with another order before it
+    if (faults_.equalItems) return;  // another order with an equal item may have been applied before
     for (const Item& item : items) {
       const OrderPtr& order = orderOf_.at(item.print);
-      const bool whole = std::all_of(order->items.begin(), order->items.end(),
-                                     [&](const Item& one) { return !process.items.newer(one); });
-      if (!whole) fault("an order is in force in part");
+      const bool complete = std::all_of(order->items.begin(), order->items.end(),
+                                        [&](const Item& one) { return !process.items.newer(one); });
+      if (!complete) reportViolation("order applied partially");
     }
   }
 
@@ -295,68 +304,69 @@
     for (Process& to : processes_) {
       if (envelope.to && *envelope.to != to.id.at) continue;
       if (!envelope.to && !decided && from.set.find(to.id.at) == nullptr) continue;
-      const bool self = &to == &from;
-      for (int copies = self ? 1 : int(!chance(faults_.lost)) + int(chance(faults_.twice)); copies > 0;
-           --copies) {
-        const Span delay = self ? Span{0} : millis(1 + draw(draw(10) == 0 ? 300 : 15));
+      const bool toSelf = &to == &from;
+      for (int copies = toSelf ? 1 : int(!chance(faults_.lossRate)) + int(chance(faults_.duplicationRate));
+           copies > 0; --copies) {
+        const Span delay = toSelf ? Span{0} : millis(1 + draw(draw(10) == 0 ? 300 : 15));
         at(now_ + delay,
-           [this, &to, sender = from.id.at, message = envelope.message] { hear(to, sender, message); });
+           [this, &to, sender = from.id.at, message = envelope.message] { deliver(to, sender, message); });
       }
     }
   }
 
-  void hear(Process& to, const Address& from, const Message& message) {
+  void deliver(Process& to, const Address& from, const Message& message) {
     Effects effects;
     std::vector<Item> merged;
-    if (const auto* word = std::get_if<Prepare>(&message)) to.agreement->heard(now_, from, *word, effects);
-    if (const auto* word = std::get_if<Accept>(&message)) to.agreement->heard(now_, from, *word, effects);
-    if (const auto* word = std::get_if<PrepareReply>(&message)) to.agreement->heard(now_, *word, effects);
-    if (const auto* word = std::get_if<AcceptReply>(&message)) to.agreement->heard(now_, *word, effects);
-    if (const auto* word = std::get_if<Decided>(&message)) {
-      for (const Item& item : word->order->items) {
+    if (const auto* typed = std::get_if<Prepare>(&message)) to.agreement->handle(now_, from, *typed, effects);
+    if (const auto* typed = std::get_if<Accept>(&message)) to.agreement->handle(now_, from, *typed, effects);
+    if (const auto* typed = std::get_if<PrepareReply>(&message)) to.agreement->handle(now_, *typed, effects);
+    if (const auto* typed = std::get_if<AcceptReply>(&message)) to.agreement->handle(now_, *typed, effects);
+    if (const auto* typed = std::get_if<Decided>(&message)) {
+      for (const Item& item : typed->order->items) {
         if (to.items.merge(item)) merged.push_back(item);
       }
-      to.agreement->decided(now_, word->order->items, effects);
+      to.agreement->recordDecided(now_, typed->order->items, effects);
     }
-    take(to, effects, merged);
+    apply(to, effects, merged);
   }
 
-  void everyTick() {
+  void tickAll() {
     for (Process& process : processes_) {
-      if (process.set.epoch < set_.epoch && draw(4) == 0) {  // it hears of the set in force
+      if (process.set.epoch < set_.epoch && draw(4) == 0) {  // it learns of the current set
         process.set = set_;
         Effects effects;
-        process.agreement->voters(set_, now_, effects);
-        take(process, effects);
+        process.agreement->setVoters(set_, now_, effects);
+        apply(process, effects);
       }
-      if (!process.holdsState) readOne(process);
-      process.agreement->mayVote(process.holdsState);
+      if (!process.holdsState) readFromOne(process);
+      process.agreement->setMayVote(process.holdsState);
       if (now_ % Span(100ms) == Span{0} || process.agreement->nextTick().value_or(Span::max()) <= now_) {
         Effects effects;
         process.agreement->tick(now_, effects);
-        take(process, effects);
+        apply(process, effects);
       }
     }
   }
 
-  void readOne(Process& reader) {
+  void readFromOne(Process& reader) {
     const Process& other = processes_[draw(processes_.size())];
-    const bool hadState = set_.mustRead(reader.id) && set_.readers.size() > 1 ? true : other.holdsState;
+    const bool isSource = set_.mustRead(reader.id) && set_.readers.size() > 1 ? true : other.holdsState;
     if (&other == &reader || reader.set.epoch < set_.epoch || other.set.epoch < set_.epoch) return;
-    if (!set_.contains(reader.id) || !set_.contains(other.id) || !hadState) return;
+    if (!set_.contains(reader.id) || !set_.contains(other.id) || !isSource) return;
     Effects effects;
-    reader.agreement->learn(now_, other.agreement->accepted(), other.agreement->decidedRegisters(), effects);
-    take(reader, effects, {}, true);
+    reader.agreement->importState(now_, other.agreement->accepted(), other.agreement->decidedRegisters(),
+                                  effects);
+    apply(reader, effects, {}, true);
     reader.read.insert(other.id.at);
     if (reader.read.size() < set_.readQuorum()) return;
-    // Its copy is on disk before it is known to hold it.
-    at(std::max(reader.lastWrite, now_), [&reader, life = reader.life, epoch = set_.epoch] {
-      if (life == reader.life && epoch == reader.set.epoch) reader.holdsState = true;
+    // The imported state must be on disk before the process holds state.
+    at(std::max(reader.lastWrite, now_), [&reader, startCount = reader.startCount, epoch = set_.epoch] {
+      if (startCount == reader.startCount && epoch == reader.set.epoch) reader.holdsState = true;
     });
   }
 
   Faults faults_;
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   Span now_{};
   VoterSet set_;
   std::map<std::uint64_t, VoterSet> sets_;
@@ -364,47 +374,48 @@
   std::priority_queue<Event> events_;
   std::map<std::uint64_t, Call> calls_;
   std::vector<OrderPtr> orders_;
-  std::map<std::uint64_t, OrderPtr> orderOf_;       // by the prints of its items
-  std::map<Ballot, std::set<VoterId>> acceptedBy_;  // durably
-  std::map<RegisterId, std::uint64_t> chosen_;      // by a majority of these
-  std::vector<std::string> found_;
+  std::map<std::uint64_t, OrderPtr> orderOf_;       // by the hashes of its items
+  std::map<Ballot, std::set<VoterId>> acceptedBy_;  // voters that durably accepted the ballot
+  std::map<RegisterId, std::uint64_t> chosen_;      // values durably accepted by a majority
+  std::vector<std::string> violations_;
   std::uint64_t lastIncarnation_ = 0;
   std::uint64_t lastCall_ = 0;
   std::uint64_t lastEvent_ = 0;
 };
 
-/// How often a check finds this in some runs.
-std::size_t found(const std::string& what, const Faults& faults, std::uint64_t seeds = 60) {
+/// Number of times the violation is detected over a range of seeds.
+std::size_t countViolations(const std::string& violation, const Faults& faults, std::uint64_t seeds = 60) {
   std::size_t times = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Cluster cluster(seed, faults);
-    cluster.day();
-    times += std::size_t(std::count(cluster.faults().begin(), cluster.faults().end(), what));
+    cluster.runScenario();
+    times += std::size_t(std::count(cluster.violations().begin(), cluster.violations().end(), violation));
   }
   return times;
 }
 
 }  // namespace
 
-TEST_CASE("agreement: one value a register through losses, restarts and changes of the set") {
+TEST_CASE("agreement: at most one value per register despite losses, restarts and voter set changes") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Cluster cluster(seed, {.equalItems = seed % 2 == 0}, 3 + seed % 3);
-    cluster.day();
+    cluster.runScenario();
     INFO("seed " << seed);
     CHECK(cluster.chosen() > 5);
-    REQUIRE(cluster.faults() == std::vector<std::string>{});
+    REQUIRE(cluster.violations() == std::vector<std::string>{});
   }
 }
 
-TEST_CASE("agreement: the checks find what breaks a rule") {
-  CHECK(found("in force before a majority accepted it durably", {.tellsBeforeWrite = true}) > 0);
-  CHECK(found("two values have had a majority", {.joinsWithoutReading = true}) > 0);
-  CHECK(found("two values have had a majority", {.wipedKeepsIncarnation = true}) > 0);
+TEST_CASE("agreement: the checks detect protocol violations") {
+  CHECK(countViolations("item applied before a majority durably accepted it", {.repliesBeforeWrite = true}) >
+        0);
+  CHECK(countViolations("two values accepted by a majority", {.votesWithoutReading = true}) > 0);
+  CHECK(countViolations("two values accepted by a majority", {.keepsIncarnationAfterWipe = true}) > 0);
 }
 
 namespace {
 
-/// One process, a voter of three, whose entries are on disk as soon as they are given.
+/// One voter of three whose entries are on disk immediately.
 struct Single {
   explicit Single(std::uint64_t epoch = 1) {
     set.epoch = {epoch};
@@ -414,39 +425,39 @@
   }
   void boot() {
     agreement = std::make_unique<Agreement>(
-        Agreement::Built{set.voters[0], 1, &items, [this](const VoterSet&, bool) { return acceptsSets; }});
+        Agreement::Config{set.voters[0], 1, &items, [this](const VoterSet&, bool) { return acceptsSets; }});
     for (const auto& [key, value] : disk) agreement->restore(key, value);
-    agreement->voters(set, now, effects);
-    agreement->mayVote(true);
-    done();
+    agreement->setVoters(set, now, effects);
+    agreement->setMayVote(true);
+    flush();
   }
-  Effects done() {
+  Effects flush() {
     for (const auto& [key, value] : effects.entries) value ? void(disk[key] = *value) : void(disk.erase(key));
     for (const Item& item : effects.decided) items.merge(item);
     return std::exchange(effects, {});
   }
   template <class Request>
-  Effects hear(const Request& request) {
-    agreement->heard(now, set.voters[1].at, request, effects);
-    return done();
+  Effects handle(const Request& request) {
+    agreement->handle(now, set.voters[1].at, request, effects);
+    return flush();
   }
   Effects propose(std::uint64_t call, const OrderPtr& order) {
     agreement->propose(now, call, order, effects);
-    return done();
+    return flush();
   }
   Effects tick(Span at) {
     now = at;
     agreement->tick(now, effects);
-    return done();
+    return flush();
   }
-  [[nodiscard]] Ballot ballot(std::uint64_t counter) const { return {roundOf(set.epoch, counter), {2}}; }
+  [[nodiscard]] Ballot ballot(std::uint64_t counter) const { return {makeRound(set.epoch, counter), {2}}; }
   Effects prepare(std::uint64_t counter, const OrderPtr& order) {
     Prepare request{ballot(counter), set.epoch, {}};
     for (const Item& item : order->items) request.registers.push_back(registerOf(item));
-    return hear(request);
+    return handle(request);
   }
   Effects accept(std::uint64_t counter, const OrderPtr& order) {
-    return hear(Accept{ballot(counter), set.epoch, order});
+    return handle(Accept{ballot(counter), set.epoch, order});
   }
 
   VoterSet set;
@@ -469,37 +480,38 @@
 
 }  // namespace
 
-TEST_CASE("agreement: a voter's replies wait for their write, also those to duplicates") {
+TEST_CASE("agreement: replies to requests and duplicates wait for the disk write") {
   Single voter;
   const OrderPtr order = orderOf({itemAt(1, 1, 1)});
-  for (int times = 0; times < 2; ++times) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
     const Effects promised = voter.prepare(5, order);
     CHECK(only<PrepareReply>(promised.afterWrite).granted);
     CHECK(promised.messages.empty());
   }
-  for (int times = 0; times < 2; ++times) CHECK(only<AcceptReply>(voter.accept(5, order).afterWrite).granted);
+  for (int attempt = 0; attempt < 2; ++attempt)
+    CHECK(only<AcceptReply>(voter.accept(5, order).afterWrite).granted);
   voter.boot();
   CHECK(voter.agreement->accepted().size() == 1);
   CHECK_FALSE(only<PrepareReply>(voter.prepare(4, order).messages).granted);
 }
 
-TEST_CASE("agreement: a voter answers in its own epoch only, and only while it may vote") {
+TEST_CASE("agreement: a voter replies only in its own epoch and while it may vote") {
   Single voter(2);
   const OrderPtr order = orderOf({itemAt(1, 1, 1)});
   for (const std::uint64_t epoch : {1U, 3U}) {
-    const Ballot ballot{roundOf({epoch}, 9), {2}};
-    CHECK(voter.hear(Accept{ballot, {epoch}, order}).afterWrite.empty());
-    CHECK(voter.hear(Accept{ballot, {2}, order}).afterWrite.empty());
-    CHECK(voter.hear(Accept{voter.ballot(9), {epoch}, order}).afterWrite.empty());
+    const Ballot ballot{makeRound({epoch}, 9), {2}};
+    CHECK(voter.handle(Accept{ballot, {epoch}, order}).afterWrite.empty());
+    CHECK(voter.handle(Accept{ballot, {2}, order}).afterWrite.empty());
+    CHECK(voter.handle(Accept{voter.ballot(9), {epoch}, order}).afterWrite.empty());
   }
-  voter.agreement->mayVote(false);
+  voter.agreement->setMayVote(false);
   CHECK(voter.accept(9, order).afterWrite.empty());
-  voter.agreement->mayVote(true);
+  voter.agreement->setMayVote(true);
   CHECK(voter.accept(9, order).afterWrite.size() == 1);
 }
 
 TEST_CASE(
-    "agreement: a voter drops an order that a higher ballot's disagrees with, and keeps one that agrees") {
+    "agreement: an accepted order is dropped for a conflicting one at a higher ballot, and kept otherwise") {
   Single voter;
   voter.accept(1, orderOf({itemAt(1, 1, 1), itemAt(2, 1, 1)}));
   voter.accept(2, orderOf({itemAt(2, 1, 1), itemAt(3, 1, 1)}));
@@ -510,7 +522,7 @@
   CHECK(voter.agreement->accepted().size() == 2);
 }
 
-TEST_CASE("agreement: forgetting a promise never lets a lower ballot in") {
+TEST_CASE("agreement: lower ballots are refused after a promise expired") {
   Single voter;
   const OrderPtr order = orderOf({itemAt(1, 1, 1)});
   voter.prepare(5, order);
@@ -523,7 +535,7 @@
   CHECK_FALSE(only<AcceptReply>(voter.accept(4, order).messages).granted);
 }
 
-TEST_CASE("agreement: a set of voters that may not be accepted gets no reply") {
+TEST_CASE("agreement: an unacceptable voter set gets no reply") {
   Single voter;
   VoterSet next = voter.set;
   next.epoch = {2};
@@ -531,58 +543,58 @@
   CHECK(voter.accept(1, orderOf({itemOf(next)})).afterWrite.empty());
   voter.acceptsSets = true;
   CHECK(only<AcceptReply>(voter.accept(1, orderOf({itemOf(next)})).afterWrite).granted);
-  voter.agreement->voters(next, 0s, voter.effects);
+  voter.agreement->setVoters(next, 0s, voter.effects);
   CHECK(voter.agreement->accepted().empty());
 }
 
-TEST_CASE("agreement: no round is used again after a restart, nor told before it is reserved") {
+TEST_CASE("agreement: rounds are reserved before use and not reused after a restart") {
   Single proposer;
   const Ballot before = only<Prepare>(proposer.propose(1, orderOf({itemAt(1, 1, 1)})).afterWrite).ballot;
   proposer.boot();
   CHECK(only<Prepare>(proposer.propose(1, orderOf({itemAt(1, 1, 2)})).afterWrite).ballot > before);
 }
 
-TEST_CASE("agreement: proposals begin anew with another set of voters") {
+TEST_CASE("agreement: proposals restart when the voter set changes") {
   Single proposer;
   proposer.propose(1, orderOf({itemAt(1, 1, 1)}));
   VoterSet next = proposer.set;
   next.epoch = {2};
-  proposer.agreement->voters(next, 0s, proposer.effects);
-  CHECK(only<Prepare>(proposer.done().afterWrite).epoch == next.epoch);
+  proposer.agreement->setVoters(next, 0s, proposer.effects);
+  CHECK(only<Prepare>(proposer.flush().afterWrite).epoch == next.epoch);
 }
 
-TEST_CASE("agreement: an accepted order whose proposer is silent is completed") {
+TEST_CASE("agreement: an accepted order is completed when its proposer stalls") {
   Single voter;
   voter.accept(1, orderOf({itemAt(1, 1, 1)}));
   CHECK(voter.tick(300ms).afterWrite.empty());
   CHECK(only<Prepare>(voter.tick(400ms).afterWrite).registers.size() == 1);
 }
 
-TEST_CASE("agreement: what a joiner learns it holds, and reports") {
+TEST_CASE("agreement: imported orders are stored and reported") {
   Single voter;
   const OrderPtr order = orderOf({itemAt(1, 1, 1)});
-  voter.agreement->learn(0s, {{voter.ballot(3), order}}, {}, voter.effects);
-  voter.done();
+  voter.agreement->importState(0s, {{voter.ballot(3), order}}, {}, voter.effects);
+  voter.flush();
   voter.boot();
   CHECK(only<PrepareReply>(voter.prepare(4, order).afterWrite).accepted.size() == 1);
 }
 
-TEST_CASE("agreement: what is decided of an order already is not proposed again") {
+TEST_CASE("agreement: items that are already decided are not proposed again") {
   Single proposer;
-  proposer.set.voters.resize(1);  // itself
+  proposer.set.voters.resize(1);  // this process only
   proposer.boot();
   const Item first = itemAt(1, 1, 1);
-  proposer.agreement->decided(0s, {first}, proposer.effects);
-  proposer.done();
+  proposer.agreement->recordDecided(0s, {first}, proposer.effects);
+  proposer.flush();
   const Prepare prepare = only<Prepare>(proposer.propose(1, orderOf({first, itemAt(2, 1, 1)})).afterWrite);
   CHECK(prepare.registers == std::vector<RegisterId>{registerOf(itemAt(2, 1, 1))});
-  const Effects promised = proposer.hear(prepare);
-  proposer.agreement->heard(0s, only<PrepareReply>(promised.afterWrite), proposer.effects);
-  const Effects accepting = proposer.done();
+  const Effects promised = proposer.handle(prepare);
+  proposer.agreement->handle(0s, only<PrepareReply>(promised.afterWrite), proposer.effects);
+  const Effects accepting = proposer.flush();
   CHECK(only<Accept>(accepting.messages).order->items.size() == 1);
-  const Effects accepted = proposer.hear(only<Accept>(accepting.messages));
-  proposer.agreement->heard(0s, only<AcceptReply>(accepted.afterWrite), proposer.effects);
-  const Effects decided = proposer.done();
+  const Effects accepted = proposer.handle(only<Accept>(accepting.messages));
+  proposer.agreement->handle(0s, only<AcceptReply>(accepted.afterWrite), proposer.effects);
+  const Effects decided = proposer.flush();
   CHECK(only<Decided>(decided.messages).order->items.size() == 2);
   REQUIRE(decided.outcomes.size() == 1);
   CHECK(decided.outcomes[0].result == OrderResult::decided);
@@ -593,18 +605,18 @@
   CHECK(conflict.outcomes[0].standing.size() == 1);
 }
 
-TEST_CASE("agreement: proposals and remembered versions are bounded") {
+TEST_CASE("agreement: proposals in flight and the decision history are bounded") {
   Single proposer;
   for (int i = 0; i < 64; ++i) proposer.propose(std::uint64_t(i) + 1, orderOf({itemAt(i, 1, 1)}));
   const Effects over = proposer.propose(65, orderOf({itemAt(64, 1, 1)}));
   REQUIRE(over.outcomes.size() == 1);
   CHECK(over.outcomes[0].result == OrderResult::busy);
   proposer.agreement->forgetCall(1);
-  CHECK(proposer.agreement->proposalsUnderWay() == 63);
+  CHECK(proposer.agreement->proposalsInFlight() == 63);
   for (std::uint64_t version = 1; version <= 40; ++version) {
-    proposer.agreement->decided(0s, {itemAt(99, version, 1)}, proposer.effects);
+    proposer.agreement->recordDecided(0s, {itemAt(99, version, 1)}, proposer.effects);
   }
-  CHECK(proposer.agreement->decidedRegisters().size() == 33);  // with that of the set
+  CHECK(proposer.agreement->decidedRegisters().size() == 33);  // 32 versions of the item and the voter set
   const Effects old = proposer.propose(66, orderOf({itemAt(99, 3, 7)}));
   REQUIRE(old.outcomes.size() == 1);
   CHECK(old.outcomes[0].result == OrderResult::decided);
--- a/tests/control_messages_test.cpp
+++ b/tests/control_messages_test.cpp
@@ -1,5 +1,5 @@
-// The codec of the control plane's messages: drawn messages of every kind survive it, drawn damage is refused
-// or read as something valid.
+// Tests of the message codec: random messages of every kind round-trip, and corrupted ones are rejected or
+// decoded to a valid message.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -17,23 +17,23 @@
 
 namespace {
 
-/// Draws values; an empty or full range of each type turns up often.
-class Draw {
+/// Generates random values; empty and maximal values are frequent.
+class Generator {
  public:
-  explicit Draw(std::uint32_t seed) : random_(seed) {}
+  explicit Generator(std::uint32_t seed) : random_(seed) {}
   std::uint64_t below(std::uint64_t end) { return random_() % end; }
   std::uint64_t number() { return random_() >> below(64); }
   bool flag() { return below(2) == 0; }
   std::string text() {
     static const char* const parts[] = {"a", "\"", "\\", "\n", "ü", " ", "/", "zone-1", "]}"};
     std::string text = "n";
-    for (std::uint64_t left = below(6); left > 0; --left) text += parts[below(std::size(parts))];
+    for (std::uint64_t count = below(6); count > 0; --count) text += parts[below(std::size(parts))];
     return text;
   }
   template <class Make>
   auto list(Make make) {
     std::vector<decltype(make())> list;
-    for (std::uint64_t left = below(4); left > 0; --left) list.push_back(make());
+    for (std::uint64_t count = below(4); count > 0; --count) list.push_back(make());
     return list;
   }
   Address address() { return {"10.0.0." + std::to_string(below(200)) + ":8" + std::to_string(below(9))}; }
@@ -45,13 +45,13 @@
   Holder holder() { return {address(), {number()}, {number()}}; }
   VoterSet voterSet() {
     std::map<Address, VoterId> byAddress;
-    for (std::uint64_t left = below(6) + 1; left > 0; --left) {
-      const VoterId drawn = voter();
-      byAddress[drawn.at] = drawn;
+    for (std::uint64_t count = below(6) + 1; count > 0; --count) {
+      const VoterId generated = voter();
+      byAddress[generated.at] = generated;
     }
     VoterSet set;
     set.epoch = epoch();
-    for (const auto& [at, drawn] : byAddress) set.voters.push_back(drawn);
+    for (const auto& [at, generated] : byAddress) set.voters.push_back(generated);
     for (const VoterId& each : set.voters) {
       if (flag()) set.readers.push_back(each);
     }
@@ -90,9 +90,9 @@
     return list([&] { return item(); });
   }
   OrderPtr order() {
-    std::vector<Item> drawn = items();
-    drawn.push_back(item());
-    return makeOrder(std::move(drawn));
+    std::vector<Item> generated = items();
+    generated.push_back(item());
+    return makeOrder(std::move(generated));
   }
   AcceptedOrder accepted() { return {ballot(), order()}; }
   RegisterId registerId() { return registerOf(item()); }
@@ -112,7 +112,7 @@
                    flag(),
                    flag(),
                    std::chrono::milliseconds(below(100000))};
-    // Of a server that signed off it does not matter what is at its address.
+    // `replaced` is not encoded for a server that has deregistered.
     news.served.replaced = news.served.replaced && !news.served.gone;
     news.heard = flag();
     return news;
@@ -120,12 +120,12 @@
   std::pair<ClaimNo, KeyPrint> claimOfKey() { return {claim(), print()}; }
   json versions() {
     json versions = json::object();
-    for (std::uint64_t left = below(4); left > 0; --left)
+    for (std::uint64_t count = below(4); count > 0; --count)
       versions["route/" + text()] = json::array({number(), number()});
     return versions;
   }
 
-  /// The kinds in the order of Message's alternatives.
+  /// Message kinds in the order of the alternatives of Message.
   Message message(std::size_t kind) {
     const auto address = [&] { return this->address(); };
     const auto registerId = [&] { return this->registerId(); };
@@ -182,7 +182,7 @@
       case 15:
         return ServersUpdate{list(news)};
       case 16:
-        return Follow{list([&] { return ServiceName{text()}; })};
+        return Subscribe{list([&] { return ServiceName{text()}; })};
       case 17:
         return ClaimRequest{epoch(), this->address(), list(claims)};
       case 18:
@@ -208,14 +208,14 @@
   std::mt19937_64 random_;
 };
 
-/// Converts to whatever a field of a struct is; only to count the fields.
+/// Converts to any field type; used only to count the fields of a struct.
 struct AnyField {
   template <class T>
   operator T() const;
 };
-template <class T, std::size_t... Place>
-constexpr bool hasFields(std::index_sequence<Place...>) {
-  return requires { T{(static_cast<void>(Place), AnyField{})...}; };
+template <class T, std::size_t... Index>
+constexpr bool hasFields(std::index_sequence<Index...>) {
+  return requires { T{(static_cast<void>(Index), AnyField{})...}; };
 }
 template <class T, std::size_t Count = 9>
 constexpr std::size_t fieldsIn() {
@@ -225,7 +225,7 @@
     return fieldsIn<T, Count - 1>();
 }
 
-/// All fields of a struct, so that a field that the codec forgets is found missing.
+/// All fields of a struct, so that fields missing from the codec are detected.
 template <class T>
 auto fieldsOf(const T& value) {
   if constexpr (std::is_same_v<T, ItemsRequest>) {
@@ -289,44 +289,44 @@
                     a);
 }
 
-/// Damages one value at a drawn depth.
-void damage(json& text, Draw& draw) {
-  if (text.is_structured() && !text.empty() && draw.below(4) != 0) {
+/// Corrupts one value at a random depth.
+void corrupt(json& text, Generator& generator) {
+  if (text.is_structured() && !text.empty() && generator.below(4) != 0) {
     auto inner = text.begin();
-    std::advance(inner, static_cast<std::ptrdiff_t>(draw.below(text.size())));
-    if (draw.below(5) == 0)
+    std::advance(inner, static_cast<std::ptrdiff_t>(generator.below(text.size())));
+    if (generator.below(5) == 0)
       text.erase(inner);
     else
-      damage(*inner, draw);
+      corrupt(*inner, generator);
     return;
   }
-  static const std::vector<json> wrong{nullptr,
-                                       true,
-                                       -1,
-                                       0,
-                                       5,
-                                       0.5,
-                                       1e300,
-                                       "",
-                                       "text",
-                                       json::array(),
-                                       json::object(),
-                                       json::array({nullptr}),
-                                       std::uint64_t{1} << 63,
-                                       std::numeric_limits<std::uint64_t>::max(),
-                                       std::numeric_limits<std::int64_t>::min(),
-                                       json::array({1, 2, 3})};
-  text = wrong[draw.below(wrong.size())];
+  static const std::vector<json> invalid{nullptr,
+                                         true,
+                                         -1,
+                                         0,
+                                         5,
+                                         0.5,
+                                         1e300,
+                                         "",
+                                         "text",
+                                         json::array(),
+                                         json::object(),
+                                         json::array({nullptr}),
+                                         std::uint64_t{1} << 63,
+                                         std::numeric_limits<std::uint64_t>::max(),
+                                         std::numeric_limits<std::int64_t>::min(),
+                                         json::array({1, 2, 3})};
+  text = invalid[generator.below(invalid.size())];
 }
 
 }  // namespace
 
-TEST_CASE("messages: drawn ones of every kind survive their encoding") {
-  Draw draw(11);
+TEST_CASE("messages: random messages of every kind round-trip") {
+  Generator generator(11);
   std::set<std::string_view> kinds;
   for (std::size_t kind = 0; kind < std::variant_size_v<Message>; ++kind) {
     for (int round = 0; round < 60; ++round) {
-      const Message message = draw.message(kind);
+      const Message message = generator.message(kind);
       REQUIRE(message.index() == kind);
       const std::string text = encode(message);
       INFO(text);
@@ -341,13 +341,13 @@
   REQUIRE(kinds.size() == std::variant_size_v<Message>);
 }
 
-TEST_CASE("messages: drawn damage is refused, or read as something valid") {
-  Draw draw(12);
+TEST_CASE("messages: corrupted messages are rejected or decoded to a valid message") {
+  Generator generator(12);
   std::size_t refused = 0;
   std::size_t valid = 0;
   for (int round = 0; round < 20000; ++round) {
-    json text = json::parse(encode(draw.message(draw.below(std::variant_size_v<Message>))));
-    for (std::uint64_t left = draw.below(2) + 1; left > 0; --left) damage(text, draw);
+    json text = json::parse(encode(generator.message(generator.below(std::variant_size_v<Message>))));
+    for (std::uint64_t count = generator.below(2) + 1; count > 0; --count) corrupt(text, generator);
     const auto read = decode(text);
     if (!read) {
       REQUIRE(read.error().step == "message");
@@ -366,60 +366,60 @@
   REQUIRE(valid > 500);
 }
 
-TEST_CASE("messages: what no process of the mesh sends is refused with its field") {
-  const auto faultOf = [](const char* text) {
+TEST_CASE("messages: invalid messages are rejected with the name of the field") {
+  const auto errorOf = [](const char* text) {
     const auto read = decode(json::parse(text));
     return read ? std::string() : read.error().line();
   };
-  CHECK(faultOf("[]") == "message: is no object");
-  CHECK(faultOf("{}") == "message: is of no kind");
-  CHECK(faultOf(R"({"t":7})") == "message: is of no kind");
-  CHECK(faultOf(R"({"t":"claims"})") == "message: is of an unknown kind");
-  CHECK(faultOf(R"({"t":"snapshot"})") == "message: snapshot: epoch is missing");
-  CHECK(faultOf(R"({"t":"snapshot","epoch":-1})") == "message: snapshot: epoch is below 0");
-  CHECK(faultOf(R"({"t":"snapshot","epoch":3.0})") == "message: snapshot: epoch is no whole number");
-  CHECK(faultOf(R"({"t":"snapshot","epoch":true})") == "message: snapshot: epoch is no whole number");
-  CHECK(faultOf(R"({"t":"snapshot","epoch":9223372036854775808})") ==
+  CHECK(errorOf("[]") == "message: is not an object");
+  CHECK(errorOf("{}") == "message: has no kind");
+  CHECK(errorOf(R"({"t":7})") == "message: has no kind");
+  CHECK(errorOf(R"({"t":"claims"})") == "message: has an unknown kind");
+  CHECK(errorOf(R"({"t":"snapshot"})") == "message: snapshot: epoch is missing");
+  CHECK(errorOf(R"({"t":"snapshot","epoch":-1})") == "message: snapshot: epoch is negative");
+  CHECK(errorOf(R"({"t":"snapshot","epoch":3.0})") == "message: snapshot: epoch is not an integer");
+  CHECK(errorOf(R"({"t":"snapshot","epoch":true})") == "message: snapshot: epoch is not an integer");
+  CHECK(errorOf(R"({"t":"snapshot","epoch":9223372036854775808})") ==
         "message: snapshot: epoch is too large");
-  CHECK(faultOf(R"({"t":"snapshot","epoch":99999999999999999999})") ==
-        "message: snapshot: epoch is no whole number");
-  CHECK(faultOf(R"({"t":"snapshot","epoch":3,"later":1})").empty());
-  // Voters out of order or twice at one address, a reader that is no voter, an empty set.
-  const auto faultOfSet = [&](const std::string& voters, const std::string& readers) {
+  CHECK(errorOf(R"({"t":"snapshot","epoch":99999999999999999999})") ==
+        "message: snapshot: epoch is not an integer");
+  CHECK(errorOf(R"({"t":"snapshot","epoch":3,"later":1})").empty());
+  // Unsorted voters, duplicate addresses, a reader that is not a voter, and an empty set.
+  const auto errorOfSet = [&](const std::string& voters, const std::string& readers) {
     const std::string text = R"({"t":"voters","set":{"epoch":2,"before":1,"founders":0,"voters":)" + voters +
                              R"(,"readers":)" + readers + "}}";
-    return faultOf(text.c_str());
+    return errorOf(text.c_str());
   };
-  CHECK(faultOfSet(R"([["a:1",1],["b:1",2]])", R"([["b:1",2]])").empty());
-  CHECK(!faultOfSet(R"([["b:1",1],["a:1",2]])", "[]").empty());
-  CHECK(!faultOfSet(R"([["a:1",1],["a:1",2]])", "[]").empty());
-  CHECK(!faultOfSet(R"([["a:1",1]])", R"([["a:1",2]])").empty());
-  CHECK(!faultOfSet("[]", "[]").empty());
-  // An item that would fail where it is used: a route without a target, and one nested very deep.
-  const auto faultOfRoute = [&](const std::string& more) {
+  CHECK(errorOfSet(R"([["a:1",1],["b:1",2]])", R"([["b:1",2]])").empty());
+  CHECK(!errorOfSet(R"([["b:1",1],["a:1",2]])", "[]").empty());
+  CHECK(!errorOfSet(R"([["a:1",1],["a:1",2]])", "[]").empty());
+  CHECK(!errorOfSet(R"([["a:1",1]])", R"([["a:1",2]])").empty());
+  CHECK(!errorOfSet("[]", "[]").empty());
+  // Items that would fail when used: a route without a target, and a deeply nested value.
+  const auto errorOfRoute = [&](const std::string& more) {
     const std::string text =
         R"({"t":"decided","order":[{"k":"route/a","g":1,"v":{"path_prefix":"/","route_kind":"pure","timeout":"1s")" +
         more + "}}]}";
-    return faultOf(text.c_str());
+    return errorOf(text.c_str());
   };
-  CHECK(faultOfRoute(R"(,"target":"desk")").empty());
-  CHECK(!faultOfRoute("").empty());
-  CHECK(!faultOfRoute(R"(,"weighted":[{"target":"desk","weight":0}])").empty());
+  CHECK(errorOfRoute(R"(,"target":"desk")").empty());
+  CHECK(!errorOfRoute("").empty());
+  CHECK(!errorOfRoute(R"(,"weighted":[{"target":"desk","weight":0}])").empty());
   const std::size_t depth = 100000;
-  CHECK(!faultOfRoute(",\"target\":\"desk\",\"x\":" + std::string(depth, '[') + std::string(depth, ']'))
+  CHECK(!errorOfRoute(",\"target\":\"desk\",\"x\":" + std::string(depth, '[') + std::string(depth, ']'))
              .empty());
-  CHECK(!faultOf(R"({"t":"decided","order":[]})").empty());
+  CHECK(!errorOf(R"({"t":"decided","order":[]})").empty());
 }
 
-TEST_CASE("messages: items go out a bounded number a message") {
-  Draw draw(13);
+TEST_CASE("messages: the number of items per message is bounded") {
+  Generator generator(13);
   for (const std::size_t count : {0U, 1U, 150U, 151U, 450U}) {
     std::vector<Item> items;
-    while (items.size() < count) items.push_back(draw.item());
+    while (items.size() < count) items.push_back(generator.item());
     const ItemsReply head{0, 1, 7, false, true, {}};
     const auto texts = itemsReplies(head, items);
     REQUIRE(texts.size() == std::max<std::size_t>(1, (count + 149) / 150));
-    std::vector<Item> came;
+    std::vector<Item> received;
     for (std::size_t part = 0; part < texts.size(); ++part) {
       const auto read = decode(json::parse(*texts[part]));
       REQUIRE(read);
@@ -428,59 +428,60 @@
       REQUIRE(reply.parts == texts.size());
       REQUIRE(reply.last() == (part + 1 == texts.size()));
       REQUIRE((reply.read == 7 && !reply.holdsState && reply.confirmed));
-      came.insert(came.end(), reply.items.begin(), reply.items.end());
+      received.insert(received.end(), reply.items.begin(), reply.items.end());
     }
-    REQUIRE(same(came, items));
+    REQUIRE(same(received, items));
   }
 }
 
-TEST_CASE("messages: base64 carries all bytes and refuses what it did not write") {
-  Draw draw(14);
+TEST_CASE("messages: base64 round-trips all bytes and rejects invalid text") {
+  Generator generator(14);
   for (int round = 0; round < 300; ++round) {
     std::vector<std::uint8_t> bytes;
-    for (std::uint64_t left = draw.below(40); left > 0; --left)
-      bytes.push_back(static_cast<std::uint8_t>(draw.below(256)));
+    for (std::uint64_t count = generator.below(40); count > 0; --count)
+      bytes.push_back(static_cast<std::uint8_t>(generator.below(256)));
     REQUIRE(fromBase64(toBase64(bytes)) == bytes);
   }
   CHECK(toBase64({'M', 'a'}) == "TWE=");
-  for (const char* wrong : {"T", "TWE", "TW!=", "====", "T===", "=TWE", "TW=E"}) CHECK(!fromBase64(wrong));
+  for (const char* invalid : {"T", "TWE", "TW!=", "====", "T===", "=TWE", "TW=E"})
+    CHECK(!fromBase64(invalid));
 }
 
-TEST_CASE("voter set: single steps are taken for such, and no others are") {
-  Draw draw(15);
+TEST_CASE("voter set: exactly the single steps are recognized") {
+  Generator generator(15);
   for (int round = 0; round < 2000; ++round) {
-    VoterSet set = draw.voterSet();
-    const VoterId joins{{"20.0.0.1:80"}, {draw.number()}};
-    const VoterId leaves = set.voters[draw.below(set.voters.size())];
-    const VoterId wiped{leaves.at, {leaves.incarnation.value + 1}};
-    REQUIRE(isSingleStep(set, withVoter(set, joins)));
-    REQUIRE(isSingleStep(set, withReplacement(set, leaves, joins)));
-    REQUIRE(isSingleStep(set, withReplacement(set, leaves, wiped)));
-    REQUIRE(isSingleStep(set, withoutVoter(set, leaves)) == (set.voters.size() > 1));
+    VoterSet set = generator.voterSet();
+    const VoterId joining{{"20.0.0.1:80"}, {generator.number()}};
+    const VoterId leaving = set.voters[generator.below(set.voters.size())];
+    const VoterId wiped{leaving.at, {leaving.incarnation.value + 1}};
+    REQUIRE(isSingleStep(set, withVoter(set, joining)));
+    REQUIRE(isSingleStep(set, withReplacement(set, leaving, joining)));
+    REQUIRE(isSingleStep(set, withReplacement(set, leaving, wiped)));
+    REQUIRE(isSingleStep(set, withoutVoter(set, leaving)) == (set.voters.size() > 1));
     REQUIRE(!isSingleStep(set, set));
     REQUIRE(!isSingleStep(set, withVoter(set, wiped)));
-    REQUIRE(!isSingleStep(set, withVoter(withVoter(set, joins), wiped)));
-    VoterSet changed = withReplacement(set, leaves, joins);
-    const auto damage = draw.below(4);
-    if (damage == 0) ++changed.epoch.value;
-    if (damage == 1) changed.readers.clear();
-    if (damage == 2) ++changed.previousSize;
-    if (damage == 3) changed.voters.push_back({{"20.0.0.2:80"}, {1}});
+    REQUIRE(!isSingleStep(set, withVoter(withVoter(set, joining), wiped)));
+    VoterSet changed = withReplacement(set, leaving, joining);
+    const auto change = generator.below(4);
+    if (change == 0) ++changed.epoch.value;
+    if (change == 1) changed.readers.clear();
+    if (change == 2) ++changed.previousSize;
+    if (change == 3) changed.voters.push_back({{"20.0.0.2:80"}, {1}});
     REQUIRE(!isSingleStep(set, changed));
   }
 }
 
-TEST_CASE("voter set: votes count once, of the epoch's voters only") {
-  Draw draw(16);
+TEST_CASE("voter set: each voter of the epoch counts once") {
+  Generator generator(16);
   for (int round = 0; round < 500; ++round) {
-    const VoterSet set = draw.voterSet();
+    const VoterSet set = generator.voterSet();
     VoteCount votes(set);
     std::set<VoterId> counted;
     for (int vote = 0; vote < 20; ++vote) {
-      VoterId voter = set.voters[draw.below(set.voters.size())];
-      const bool earlier = draw.below(5) == 0;
+      VoterId voter = set.voters[generator.below(set.voters.size())];
+      const bool earlier = generator.below(5) == 0;
       if (earlier) --voter.incarnation.value;
-      const Epoch epoch{set.epoch.value + (draw.below(5) == 0 ? 1 : 0)};
+      const Epoch epoch{set.epoch.value + (generator.below(5) == 0 ? 1 : 0)};
       const bool counts = !earlier && epoch == set.epoch;
       REQUIRE(votes.add(voter, epoch) == counts);
       if (counts) counted.insert(voter);
