--- a/src/mesh/control/agreement.hpp
+++ b/src/mesh/control/agreement.hpp
@@ -39,6 +39,7 @@
 /// hash is compared.
 Item itemOf(const VoterSet& set);
 
+/// The agreement of one control process, as acceptor and proposer.
 class Agreement {
  public:
   struct Config {
--- a/src/mesh/control/agreement_store.hpp
+++ b/src/mesh/control/agreement_store.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 // Keys and text formats of the agreement's stored state: promised ballots under "b/", accepted orders under
-// "o/", and decided versions per item name under "d/". The read functions throw nlohmann::json exceptions on
+// "o/", and decided versions per item name under "d/". The parse functions throw nlohmann::json exceptions on
 // malformed text.
 
 #include <string>
--- a/src/mesh/control/decided_history.hpp
+++ b/src/mesh/control/decided_history.hpp
@@ -23,6 +23,7 @@
   expired,     // decided, but no longer in the history; proposing a value has no effect
 };
 
+/// The decided versions per item name.
 class DecidedHistory {
  public:
   /// Returns false if the key does not belong to the history.
--- a/src/mesh/control/durable_writes.hpp
+++ b/src/mesh/control/durable_writes.hpp
@@ -22,11 +22,13 @@
 
 namespace rackroute::mesh {
 
+/// Entries that are written to the disk together.
 struct WriteBatch {
   std::uint64_t number = 0;
   std::vector<StoreEntry> entries;
 };
 
+/// Tracks which entries are not yet on disk.
 class PendingWrites {
  public:
   /// Registers a batch that is being submitted and returns its number.
@@ -51,7 +53,7 @@
   struct Key {
     std::size_t inFlight = 0;                // batches in flight that write the key
     std::uint64_t failedIn = 0;              // first failed batch since the key was last written; 0 if none
-    std::optional<std::string> failedValue;  // its value in the last failed batch
+    std::optional<std::string> failedValue;  // value in the last failed batch
   };
   void applyResult(const StoreEntry& entry, std::uint64_t batch, bool succeeded);
   void clearFailure(const std::string& name, Key& key);
@@ -67,7 +69,8 @@
   Span nextRetry_{};
 };
 
-/// Deferred: the action to perform once a batch is durable.
+/// Tracks writes together with an action of type `Deferred` per batch, which is released once the batch is
+/// durable.
 template <class Deferred>
 class DurableWrites {
  public:
--- a/src/mesh/control/majority_lease.hpp
+++ b/src/mesh/control/majority_lease.hpp
@@ -19,6 +19,7 @@
 /// establish new sessions.
 inline constexpr Span kMajorityLease = std::chrono::milliseconds(1200);
 
+/// The lease of this process; see the file comment.
 class MajorityLease {
  public:
   /// Returns the sequence number for the heartbeats sent now; it is the same for all recipients.
--- a/src/mesh/control/majority_read.hpp
+++ b/src/mesh/control/majority_read.hpp
@@ -17,6 +17,7 @@
 
 namespace rackroute::mesh {
 
+/// Runs one majority read at a time.
 class MajorityRead {
  public:
   /// `items` and `agreement` must outlive this object.
--- a/src/mesh/control/membership.hpp
+++ b/src/mesh/control/membership.hpp
@@ -18,6 +18,7 @@
 
 namespace rackroute::mesh {
 
+/// The voter set as seen by this process.
 class Membership {
  public:
   struct Config {
@@ -74,9 +75,8 @@
     bool up = false;
     bool founder = false;
     bool holdsState = false;
-    bool removed =
-        false;  // it was removed from the voter set under this identity and may rejoin only under a new one
-    Span since{};  // time of the last change of `up`
+    bool removed = false;  // from the set under this identity; may rejoin only under a new one
+    Span since{};          // time of the last change of `up`
   };
 
   /// Whether the set may follow the current one.
--- a/src/mesh/control/message_reader.hpp
+++ b/src/mesh/control/message_reader.hpp
@@ -110,9 +110,9 @@
   }
   static void get(const json& from, KeyPrint& to) {
     requireString(from);
-    const auto print = printFrom(from.get_ref<const std::string&>());
-    require(print.has_value(), "is not a key hash");
-    to = *print;
+    const auto hash = printFrom(from.get_ref<const std::string&>());
+    require(hash.has_value(), "is not a key hash");
+    to = *hash;
   }
   static void get(const json& from, ItemKey& to) {
     requireString(from);
@@ -124,8 +124,8 @@
   static void get(const json& from, json& to) {
     require(from.is_object(), "is not an object");
     for (const json& version : from) {
-      std::pair<std::uint64_t, std::uint64_t> generationAndPrint;
-      get(version, generationAndPrint);
+      std::pair<std::uint64_t, std::uint64_t> generationAndHash;
+      get(version, generationAndHash);
     }
     to = from;
   }
--- a/src/mesh/control/message_writer.hpp
+++ b/src/mesh/control/message_writer.hpp
@@ -26,7 +26,7 @@
   /// Invalid UTF-8 in names is replaced, as the receiver could not parse it.
   void put(const json& value) { text_ += value.dump(-1, ' ', false, json::error_handler_t::replace); }
   void put(const std::vector<std::uint8_t>& bytes) { text_ += '"' + toBase64(bytes) + '"'; }
-  void put(const KeyPrint& print) { text_ += '"' + textOf(print) + '"'; }
+  void put(const KeyPrint& hash) { text_ += '"' + textOf(hash) + '"'; }
   void put(const ItemKey& key) { put(textOf(key)); }
   void put(const Item& item) { text_ += wireOf(item); }
   void put(const News& news) { put(toJson(news)); }
--- a/src/mesh/control/messages.hpp
+++ b/src/mesh/control/messages.hpp
@@ -60,6 +60,7 @@
 /// the previous one is still being processed.
 Span extraTimeFor(std::size_t items);
 
+/// An order with the ballot at which it was accepted.
 struct AcceptedOrder {
   Ballot ballot;
   OrderPtr order;
@@ -71,11 +72,13 @@
   std::uint64_t hash = 0;
 };
 
+/// Phase 1 of a ballot: asks for promises for the registers.
 struct Prepare {
   Ballot ballot;
   Epoch epoch;
   std::vector<RegisterId> registers;
 };
+/// A voter's promise or refusal.
 struct PrepareReply {
   Ballot ballot;  // ballot of the request
   Epoch epoch;
@@ -88,6 +91,7 @@
   std::vector<DecidedRegister> decided;
   std::vector<Item> currentItems;  // current items with the names of the decided registers
 };
+/// Phase 2 of a ballot: asks to accept the order.
 struct Accept {
   Ballot ballot;
   Epoch epoch;
@@ -96,6 +100,7 @@
   /// their own. Earlier versions do not send this field.
   bool mayBeDecided = false;
 };
+/// A voter's acceptance or refusal; fields as in PrepareReply.
 struct AcceptReply {
   Ballot ballot;
   Epoch epoch;
@@ -115,6 +120,7 @@
 
 // --- sessions
 
+/// First message of a session, from the process that opened it.
 struct Hello {
   std::uint32_t format = kMessageFormat;
   bool control = false;  // true for a control process, false for a sidecar
@@ -125,6 +131,7 @@
   bool founder = false;     // control only: may take part in agreeing on the first set
   bool holdsState = false;  // control only: none of its promises is lost
 };
+/// A control process's reply to Hello.
 struct Welcome {
   std::uint32_t format = kMessageFormat;
   VoterId self;
@@ -133,9 +140,10 @@
   std::string zone;
   std::vector<Address> controls;  // all known control processes
   VoterSet voters;
-  LifeNo highestLife;  // highest life known for the greeted node; lower ones differ by its clock only
+  LifeNo highestLife;  // highest life known for the greeted node, by that node's clock
   LifeNo life = {};    // life of the responder; not sent by earlier versions
 };
+/// Sent periodically in each session, in both directions.
 struct Heartbeat {
   std::uint64_t sequence = 0;  // per sender and receiving process
   std::uint64_t echo = 0;      // highest sequence received from the receiver
@@ -145,20 +153,24 @@
   bool settled = false;        // it holds the majority lease and has completed a majority read since
   std::size_t members = 0;     // sidecars that are or recently were connected to any control process
 };
+/// Addresses of all known control processes.
 struct ControlAddresses {
   std::vector<Address> list;
 };
+/// Announces a voter set.
 struct VotersUpdate {
   VoterSet voters;
 };
 
 // --- the configuration
 
+/// Requests the items that are newer than the given versions.
 struct ItemsRequest {
   nlohmann::json versions;  // in the format of Items::versions()
   std::uint64_t read = 0;   // not 0: request belongs to that majority read
   bool confirmed = false;   // sidecar only: reply after a majority has confirmed that there is nothing newer
 };
+/// One part of the requested items.
 struct ItemsReply {
   std::size_t part = 0;
   std::size_t parts = 1;
@@ -198,12 +210,14 @@
   std::uint64_t record = 0;
   std::uint64_t recorded = 0;
 };
+/// Sent by a sidecar: the services whose servers it wants to receive.
 struct Subscribe {
   std::vector<ServiceName> services;
 };
 
 // --- claims on keys
 
+/// Asks the voters to grant claims on operation keys.
 struct ClaimRequest {
   Epoch epoch;  // current epoch of the claimer; a voter in another epoch does not vote
   Address at;   // address of the claimer
@@ -213,10 +227,12 @@
   Address at;
   std::vector<std::pair<ClaimNo, KeyPrint>> claims;
 };
+/// A voter's answer to one claim.
 struct Vote {
   ClaimNo claim;
   std::optional<Holder> holder;  // empty if the claim was granted
 };
+/// A voter's answers to a ClaimRequest.
 struct Votes {
   Epoch epoch;
   VoterId voter;
@@ -229,6 +245,7 @@
 struct SnapshotRequest {
   Epoch epoch;
 };
+/// One part of a voter's state, in reply to SnapshotRequest.
 struct SnapshotPart {
   Epoch epoch;  // epoch of the sender, which no longer votes in earlier ones
   VoterId voter;
@@ -239,10 +256,10 @@
   std::vector<DecidedRegister> decided;  // in the last part only
 };
 
-using Message =
-    std::variant<Hello, Welcome, Heartbeat, ControlAddresses, VotersUpdate, Prepare, PrepareReply, Accept,
-                 AcceptReply, Decided, ItemsRequest, ItemsReply, ReadRequest, ReadReply, RegistryUpdate,
-                 ServersUpdate, Subscribe, ClaimRequest, ReleaseRequest, Votes, SnapshotRequest, SnapshotPart>;
+using Message = std::variant<Hello, Welcome, Heartbeat, ControlAddresses, VotersUpdate, Prepare, PrepareReply,
+                             Accept, AcceptReply, Decided, ItemsRequest, ItemsReply, ReadRequest, ReadReply,
+                             RegistryUpdate, ServersUpdate, Subscribe, ClaimRequest, ReleaseRequest, Votes,
+                             SnapshotRequest, SnapshotPart>;
 
 /// Encodes a message as a single line without a line break. Use itemsReplies() for ItemsReply, as it shares
 /// the serialized items.
--- a/src/mesh/control/order_proposer.cpp
+++ b/src/mesh/control/order_proposer.cpp
@@ -43,7 +43,7 @@
   auto found = proposals_.find(order->id);
   if (found == proposals_.end()) {
     if (proposals_.size() >= kMaxCallProposals) return false;
-    begin(now, start(order), effects);
+    startBallot(now, addProposal(order), effects);
     found = proposals_.find(order->id);
   }
   if (call != 0) found->second.calls.insert(call);
@@ -56,12 +56,12 @@
     return;
   }
   if (proposals_.size() >= kMaxProposals) return;
-  Proposal& proposal = start(order);
+  Proposal& proposal = addProposal(order);
   proposal.acceptedBefore = true;
-  begin(now, proposal, effects);
+  startBallot(now, proposal, effects);
 }
 
-OrderProposer::Proposal& OrderProposer::start(const OrderPtr& order) {
+OrderProposer::Proposal& OrderProposer::addProposal(const OrderPtr& order) {
   Proposal& proposal = proposals_.try_emplace(order->id, order, *config_.voters).first->second;
   for (const Item& item : order->items) {
     const RegisterState state = config_.decided->stateOf(item);
@@ -93,7 +93,7 @@
   return {makeRound(config_.voters->epoch, lastCounter_), config_.self.incarnation};
 }
 
-void OrderProposer::begin(Span now, Proposal& proposal, Effects& effects) {
+void OrderProposer::startBallot(Span now, Proposal& proposal, Effects& effects) {
   proposal.phase = Phase::preparing;
   proposal.ballot = nextBallot(proposal, effects);
   proposal.granted = VoteCount(*config_.voters);
@@ -392,7 +392,7 @@
 // --- time
 
 void OrderProposer::restart(Span now, Effects& effects) {
-  for (auto& [id, proposal] : proposals_) begin(now, proposal, effects);
+  for (auto& [id, proposal] : proposals_) startBallot(now, proposal, effects);
 }
 
 void OrderProposer::tick(Span now, Effects& effects) {
@@ -406,7 +406,7 @@
     Proposal& proposal = found->second;
     if (proposal.phase == Phase::preparing) evaluate(now, proposal, true, effects);
     if (proposal.phase == Phase::waiting && proposal.deadline <= now) {
-      begin(now, proposal, effects);
+      startBallot(now, proposal, effects);
     } else if (proposal.deadline <= now) {
       failBallot(now, proposal);
     }
--- a/src/mesh/control/order_proposer.hpp
+++ b/src/mesh/control/order_proposer.hpp
@@ -27,6 +27,7 @@
 
 namespace rackroute::mesh {
 
+/// Drives the ballots of the orders that this process proposes.
 class OrderProposer {
  public:
   struct Config {
@@ -93,8 +94,8 @@
   };
   using Proposals = std::map<std::uint64_t, Proposal>;  // by order id
 
-  Proposal& start(const OrderPtr& order);
-  void begin(Span now, Proposal& proposal, Effects& effects);
+  Proposal& addProposal(const OrderPtr& order);
+  void startBallot(Span now, Proposal& proposal, Effects& effects);
   Ballot nextBallot(Proposal& proposal, Effects& effects);
   Proposal* find(const Ballot& ballot, Phase phase);
   /// Handles a failed ballot. Returns false if the proposal was abandoned because nothing depends on it.
--- a/src/mesh/control/register_acceptor.hpp
+++ b/src/mesh/control/register_acceptor.hpp
@@ -24,13 +24,13 @@
 /// Whether two orders have different values for a register that both contain.
 bool conflicts(const Order& left, const Order& right);
 
+/// Promises and accepted orders of this process.
 class RegisterAcceptor {
  public:
   struct Response {
     bool granted = false;
-    Ballot promised;  // highest ballot promised or accepted for any of the registers
-    std::vector<DecidedRegister>
-        decided;  // decisions for the registers, and later versions that supersede them
+    Ballot promised;                       // highest ballot promised or accepted for any of the registers
+    std::vector<DecidedRegister> decided;  // of the registers, and later versions that supersede them
   };
   struct AcceptedEntry {
     AcceptedOrder accepted;
@@ -92,8 +92,7 @@
   std::map<RegisterId, Ballot> promised_;
   Ballot floor_;  // lower ballots are refused for all registers
   std::map<std::uint64_t, AcceptedEntry> accepted_;
-  std::map<RegisterId, std::vector<std::uint64_t>>
-      ordersByRegister_;  // accepted orders that contain the register
+  std::map<RegisterId, std::vector<std::uint64_t>> ordersByRegister_;  // ids of accepted orders
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/voter_recovery.hpp
+++ b/src/mesh/control/voter_recovery.hpp
@@ -17,12 +17,13 @@
 
 namespace rackroute::mesh {
 
+/// Reads the state of other voters into this process.
 class VoterRecovery {
  public:
   explicit VoterRecovery(const VoterId& self) : self_(self) {}
 
-  /// Starts or restarts recovery for the set. A larger read quorum of an earlier unfinished recovery remains
-  /// in force. countSelf: this process had complete state in the previous epoch, so it counts as one of the
+  /// Starts or restarts recovery for the set. A larger read quorum of an earlier unfinished recovery still
+  /// applies. countSelf: this process had complete state in the previous epoch, so it counts as one of the
   /// voters read.
   void begin(Span now, const VoterSet& set, bool countSelf);
   void stop() { running_ = false; }
@@ -51,8 +52,8 @@
   std::set<VoterId> completed_;
 };
 
-/// The sending side: sends this process's state to recovering voters in parts, a bounded number per tick, so
-/// that voting continues in between.
+/// Sends this process's state to recovering voters in parts, a bounded number per tick, so that voting
+/// continues in between.
 class SnapshotSender {
  public:
   /// Takes a snapshot for the peer; replaces an unfinished one.
--- a/src/mesh/control/voter_set.hpp
+++ b/src/mesh/control/voter_set.hpp
@@ -20,12 +20,14 @@
 /// Number of an agreed voter set, starting at 1. 0 means that no set has been agreed on yet.
 using Epoch = Id<struct EpochTag, std::uint64_t>;
 
+/// Identity of a voter: its address and incarnation.
 struct VoterId {
-  Address at;  // address for mesh sessions
+  Address at;  // for mesh sessions
   Incarnation incarnation;
   auto operator<=>(const VoterId&) const = default;
 };
 
+/// The voters of one epoch.
 struct VoterSet {
   Epoch epoch;
   std::vector<VoterId> voters;  // sorted by address; at most one per address
--- a/tests/control_agreement_test.cpp
+++ b/tests/control_agreement_test.cpp
@@ -122,8 +122,8 @@
       if (!set_.mustRead(process.id)) continue;
       process.holdsState = faults_.votesWithoutReading;
       process.read.clear();
-      if (removes)
-        process.read.insert(process.id.at);  // its own state is that of a voter of the previous set
+      // Its own state counts: it was a voter of the previous set.
+      if (removes) process.read.insert(process.id.at);
     }
   }
   /// A further set may be installed only when all readers of the current one have read.
@@ -136,26 +136,28 @@
   /// Runs a phase of random load and faults, followed by a phase without faults.
   void runScenario() {
     for (std::uint64_t i = 0; i < 40; ++i) {
-      run(now_ + millis(draw(60)));
-      if (draw(8) == 0 && faults_.restarts) restart(processes_[draw(processes_.size())]);
-      if (draw(14) == 0 && faults_.setChanges && stable()) {
-        draw(3) == 0 ? addOrRemoveLast() : wipe(draw(processes_.size()));
+      run(now_ + millis(randomBelow(60)));
+      if (randomBelow(8) == 0 && faults_.restarts) restart(processes_[randomBelow(processes_.size())]);
+      if (randomBelow(14) == 0 && faults_.setChanges && stable()) {
+        randomBelow(3) == 0 ? addOrRemoveLast() : wipe(randomBelow(processes_.size()));
       }
-      if (!orders_.empty() && draw(6) == 0) {
-        propose(draw(processes_.size()), orders_[draw(orders_.size())]);  // a repeated call, at any process
+      if (!orders_.empty() && randomBelow(6) == 0) {
+        propose(randomBelow(processes_.size()),
+                orders_[randomBelow(orders_.size())]);  // a repeated call, at any process
         continue;
       }
       std::map<ItemKey, Item> items;
-      for (std::size_t count = 1 + draw(4); count > 0; --count) {
-        const Item item = itemAt(int(draw(5)), 1 + draw(4) + i / 10, faults_.equalItems ? draw(2) : 100 + i);
+      for (std::size_t count = 1 + randomBelow(4); count > 0; --count) {
+        const Item item = itemAt(int(randomBelow(5)), 1 + randomBelow(4) + i / 10,
+                                 faults_.equalItems ? randomBelow(2) : 100 + i);
         items.emplace(item.key, item);
       }
       std::vector<Item> list;
       for (auto& [key, item] : items) list.push_back(item);
       orders_.push_back(makeOrder(std::move(list)));
       for (const Item& item : orders_.back()->items) orderOf_[item.print] = orders_.back();
-      propose(draw(processes_.size()), orders_.back());
-      if (draw(3) == 0) propose(draw(processes_.size()), orders_.back());
+      propose(randomBelow(processes_.size()), orders_.back());
+      if (randomBelow(3) == 0) propose(randomBelow(processes_.size()), orders_.back());
     }
     faults_.lossRate = faults_.duplicationRate = 0;
     run(now_ + Span(12s));
@@ -189,7 +191,7 @@
   }
   [[nodiscard]] std::vector<Process>& processes() { return processes_; }
   [[nodiscard]] std::size_t chosen() const { return chosen_.size(); }
-  [[nodiscard]] std::uint64_t draw(std::uint64_t below) {
+  [[nodiscard]] std::uint64_t randomBelow(std::uint64_t below) {
     return std::uniform_int_distribution<std::uint64_t>(0, below - 1)(random_);
   }
 
@@ -220,7 +222,7 @@
     process.lastWrite = now_;
     process.items = {};
     process.agreement = std::make_unique<Agreement>(Agreement::Config{
-        process.id, draw(1'000'000'000), &process.items, [](const VoterSet&, bool) { return true; }});
+        process.id, randomBelow(1'000'000'000), &process.items, [](const VoterSet&, bool) { return true; }});
     for (const auto& [key, value] : process.disk) {
       if (!process.agreement->restore(key, value))
         process.items.merge(itemFrom(nlohmann::json::parse(value)));
@@ -253,7 +255,7 @@
       for (const Envelope& envelope : effects.afterWrite) send(process, envelope);
     }
     if (entries.empty()) return;
-    process.lastWrite = std::max(process.lastWrite, now_) + millis(draw(6));
+    process.lastWrite = std::max(process.lastWrite, now_) + millis(randomBelow(6));
     at(process.lastWrite,
        [this, &process, startCount = process.startCount, entries, imported, later = effects.afterWrite] {
          if (startCount != process.startCount) return;
@@ -307,7 +309,7 @@
       const bool toSelf = &to == &from;
       for (int copies = toSelf ? 1 : int(!chance(faults_.lossRate)) + int(chance(faults_.duplicationRate));
            copies > 0; --copies) {
-        const Span delay = toSelf ? Span{0} : millis(1 + draw(draw(10) == 0 ? 300 : 15));
+        const Span delay = toSelf ? Span{0} : millis(1 + randomBelow(randomBelow(10) == 0 ? 300 : 15));
         at(now_ + delay,
            [this, &to, sender = from.id.at, message = envelope.message] { deliver(to, sender, message); });
       }
@@ -332,7 +334,7 @@
 
   void tickAll() {
     for (Process& process : processes_) {
-      if (process.set.epoch < set_.epoch && draw(4) == 0) {  // it learns of the current set
+      if (process.set.epoch < set_.epoch && randomBelow(4) == 0) {  // it learns of the current set
         process.set = set_;
         Effects effects;
         process.agreement->setVoters(set_, now_, effects);
@@ -349,7 +351,7 @@
   }
 
   void readFromOne(Process& reader) {
-    const Process& other = processes_[draw(processes_.size())];
+    const Process& other = processes_[randomBelow(processes_.size())];
     const bool isSource = set_.mustRead(reader.id) && set_.readers.size() > 1 ? true : other.holdsState;
     if (&other == &reader || reader.set.epoch < set_.epoch || other.set.epoch < set_.epoch) return;
     if (!set_.contains(reader.id) || !set_.contains(other.id) || !isSource) return;
--- a/tests/control_durable_writes_test.cpp
+++ b/tests/control_durable_writes_test.cpp
@@ -32,8 +32,8 @@
 
 TEST_CASE("random disk failures lose no entries, and only durable batches are reported", "[durable]") {
   for (unsigned seed = 1; seed <= 60; ++seed) {
-    std::mt19937 draw(seed);
-    const auto below = [&](std::uint64_t end) { return draw() % end; };
+    std::mt19937 random(seed);
+    const auto below = [&](std::uint64_t end) { return random() % end; };
     DurableWrites<std::pair<std::uint64_t, Versions>> writes;
     std::deque<WriteBatch> submitted;
     Versions memory;
@@ -119,7 +119,7 @@
   CHECK(writes.allDurable());
 }
 
-// Bounded memory while the disk fails or hangs and requests continue.
+// Guards against unbounded memory use while the disk fails or hangs and requests continue.
 TEST_CASE("pending writes are bounded while the disk makes no progress", "[durable]") {
   DurableWrites<int> writes;
   const auto begin = [&](int i) { return writes.submit({{std::to_string(i), std::string(1000, 'x')}}, i); };
