--- a/src/lab/mesh/emulated.hpp
+++ b/src/lab/mesh/emulated.hpp
@@ -215,7 +215,7 @@
   void synced(std::size_t machine, bool done);
   static bool writeInFlight(Disk& disk);
   /// Opens the machine's store, and begins its process with what it holds. False: the disk refuses.
-  bool openDisk(std::size_t machine, const ControlNode::Built& built);
+  bool openDisk(std::size_t machine, const ControlNode::Options& built);
   /// The machine's process ends, or its power does.
   void endDisk(std::size_t machine, bool power);
   void wipeDisk(std::size_t machine);
--- a/src/lab/mesh/explorer.cpp
+++ b/src/lab/mesh/explorer.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kClaimers = 2;
 constexpr Span kNow = 1s;  // nothing here goes by time
-const KeyPrint kKey = printOfKey("the key");
+const KeyHash kKey = hashOfKey("the key");
 
 struct Word {
   enum class Kind { claim, free, vote } kind = Kind::claim;
@@ -81,8 +81,8 @@
     state.to.resize(voters_);
     state.from.resize(voters_);
     for (Claimer& claimer : state.claimers) {
-      claimer.claims.electorate(setOf(voters_));
-      claimer.claims.reach(voters_);
+      claimer.claims.setVoters(setOf(voters_));
+      claimer.claims.setReachableVoters(voters_);
     }
     if (won_) winFirst(state);
     walk(state, depth);
@@ -119,7 +119,7 @@
       text += std::to_string(static_cast<int>(claimer.work)) + std::to_string(claimer.no.value) +
               (claimer.mayStillRun ? 'm' : '.');
       for (std::size_t v = 0; v < voters_; ++v) {
-        const auto open = claimer.claims.without(voterId(v));
+        const auto open = claimer.claims.openWithoutVoteOf(voterId(v));
         text += open.empty() ? '1' : '0';
       }
     }
@@ -144,7 +144,7 @@
     for (std::size_t v = 0; v < voters_; ++v) state.to[v][c].push_back(word);
   }
 
-  void ended(State& state, std::size_t c, const Claims::Ended& ended) const {
+  void ended(State& state, std::size_t c, const Claims::Outcome& ended) const {
     Claimer& claimer = state.claimers[c];
     if (ended.won) {
       claimer.work = Work::won;
@@ -161,7 +161,7 @@
     Promises promises(60s);
     if (voter.memory) promises.learn(kNow, kKey, *voter.memory);
     if (word.kind == Word::Kind::free) {
-      if (promises.giveBack(kKey, holder)) {
+      if (promises.release(kKey, holder)) {
         voter.memory.reset();
         voter.dirty = true;
       }
@@ -194,7 +194,7 @@
     unsynced.erase(
         std::remove_if(unsynced.begin(), unsynced.end(), [&](const auto& u) { return u.first == c; }),
         unsynced.end());
-    for (const Claims::Open& open : state.claimers[c].claims.without(voterId(v)))
+    for (const Claims::OpenClaim& open : state.claimers[c].claims.openWithoutVoteOf(voterId(v)))
       state.to[v][c].push_back({Word::Kind::claim, open.no});
   }
 
--- a/src/lab/mesh/voter_set_explorer.cpp
+++ b/src/lab/mesh/voter_set_explorer.cpp
@@ -148,7 +148,7 @@
     if (flaw_ == Flaw::setsWithoutOverlap) add(claimer.votes, bit(p));
     const VoterSet set = electorateOf(state, c);
     Claims claims;
-    claims.electorate(set);
+    claims.setVoters(set);
     const ClaimNo no = claims.open(kNow, theKey(), kNow + 1s);
     for (const VoterId& earlier : set.voters) {
       if (has(before, processOf(earlier))) claims.vote(earlier, set.epoch, no, true, std::nullopt);
@@ -158,7 +158,7 @@
       claimer.work = Work::won;
       leaveNothingInFlight(state, c);
       if (search_.wonInEpoch != 0) claimer.epoch = static_cast<std::uint8_t>(epoch);
-    } else if (claims.without(voter).empty()) {
+    } else if (claims.openWithoutVoteOf(voter).empty()) {
       add(claimer.votes, bit(p));
     }
   }
@@ -169,16 +169,16 @@
     const VoterSet before = electorateOf(state, c);
     const VoterSet after = voterSetOf(state.sets[epoch], epoch);
     Claims claims;
-    claims.electorate(before);
+    claims.setVoters(before);
     const ClaimNo no = claims.open(kNow, theKey(), kNow + 1s);
     for (const VoterId& voter : before.voters) {
       if (has(claimer.votes, processOf(voter))) claims.vote(voter, before.epoch, no, true, std::nullopt);
     }
-    claims.electorate(after);
+    claims.setVoters(after);
     Bits kept = 0;
     for (const VoterId& voter : after.voters) {
       const bool mixed = flaw_ == Flaw::epochsMixed && before.find(voter.at) != nullptr;
-      if (claims.without(voter).empty() || (mixed && has(claimer.votes, processOf(voter))))
+      if (claims.openWithoutVoteOf(voter).empty() || (mixed && has(claimer.votes, processOf(voter))))
         add(kept, bit(processOf(voter)));
     }
     claimer.epoch = static_cast<std::uint8_t>(epoch);
@@ -246,7 +246,7 @@
           Process& voter = next.processes[p];
           voter.inFlight[c] = 0;
           Promises promises = promisesOf(voter.promised);
-          if (promises.giveBack(theKey(), holderOf(c)))
+          if (promises.release(theKey(), holderOf(c)))
             voter.promised = flaw_ == Flaw::releaseFreesKey ? Bits{0} : bitsOf(promises);
           if (!writesApart()) voter.onDisk = voter.promised;
           return true;
--- a/src/lab/mesh/voter_set_state.cpp
+++ b/src/lab/mesh/voter_set_state.cpp
@@ -7,8 +7,8 @@
 using namespace std::chrono_literals;
 using namespace rackroute::mesh;
 
-const KeyPrint& theKey() {
-  static const KeyPrint key = printOfKey("the key");
+const KeyHash& theKey() {
+  static const KeyHash key = hashOfKey("the key");
   return key;
 }
 
--- a/src/lab/mesh/voter_set_state.hpp
+++ b/src/lab/mesh/voter_set_state.hpp
@@ -107,7 +107,7 @@
 Set packed(const rackroute::mesh::VoterSet& set);
 
 /// The one key that all claimers want, and the time at which everything happens.
-const rackroute::mesh::KeyPrint& theKey();
+const rackroute::mesh::KeyHash& theKey();
 inline constexpr rackroute::Span kNow = std::chrono::seconds(1);
 
 /// What a voter has promised of the key, in the mesh's own class.
--- a/src/lab/mesh/world_disks.cpp
+++ b/src/lab/mesh/world_disks.cpp
@@ -7,12 +7,12 @@
 
 }  // namespace
 
-bool World::openDisk(std::size_t machine, const ControlNode::Built& built) {
+bool World::openDisk(std::size_t machine, const ControlNode::Options& built) {
   Core& here = core(machine);
   Disk& disk = here.disk;
   disk.waiting.clear();
   disk.syncing = 0;
-  ControlNode::Built anew = built;
+  ControlNode::Options anew = built;
   for (;;) {
     here.control = std::make_unique<ControlNode>(anew);
     disk.database = std::make_unique<Database>("/data", disk.files->fileSystem());
@@ -77,7 +77,8 @@
     disk.waiting.pop_front();
   }
   sync(machine);
-  for (const std::uint64_t batch : batches) act(machine, core(machine).control->written(now_, {batch}, done));
+  for (const std::uint64_t batch : batches)
+    act(machine, core(machine).control->writeCompleted(now_, {batch}, done));
 }
 
 }  // namespace rackroute::lab::mesh::emulated
--- a/src/lab/mesh/world_network.cpp
+++ b/src/lab/mesh/world_network.cpp
@@ -7,7 +7,7 @@
   const std::uint64_t lifeA = machines_[from].life;
   const auto failed = [this, from, lifeA, to] {
     if (machines_[from].core) {
-      act(from, core(from).control->unreached(now_, to));
+      act(from, core(from).control->dialFailed(now_, to));
     } else {
       act(from, side(from).sidecar->ended(now_, to));
     }
@@ -28,13 +28,13 @@
     link->noA = ++sessionNo_;
     atProcess(now_, target, link->lifeB, [this, link, target] {
       sessions_[target][link->noB] = link;
-      act(target, core(target).control->came(now_, {link->noB}));
+      act(target, core(target).control->sessionAccepted(now_, {link->noB}));
     });
     atProcess(now_ + trip, from, lifeA, [this, link, from, to] {
       if (!link->open) return;
       if (machines_[from].core) {
         sessions_[from][link->noA] = link;
-        act(from, core(from).control->reached(now_, {link->noA}, to));
+        act(from, core(from).control->sessionEstablished(now_, {link->noA}, to));
       } else {
         dialled_[from][to.value] = link;
         act(from, side(from).sidecar->reached(now_, to));
@@ -69,7 +69,8 @@
   ++words;
   bytes += text.size();
   if (machines_[machine].core) {
-    act(machine, core(machine).control->heard(now_, {link->a == machine ? link->noA : link->noB}, word));
+    act(machine,
+        core(machine).control->messageReceived(now_, {link->a == machine ? link->noA : link->noB}, word));
   } else {
     act(machine, side(machine).sidecar->heard(now_, {address(link->b)}, word));
     took(machine, word);
@@ -94,7 +95,7 @@
   if (machines_[machine].core) {
     const std::uint64_t no = link->a == machine ? link->noA : link->noB;
     if (sessions_[machine].erase(no) == 0) return;
-    act(machine, core(machine).control->ended(now_, {no}));
+    act(machine, core(machine).control->sessionClosed(now_, {no}));
   } else {
     auto& all = dialled_[machine];
     const auto found = all.find(address(link->b));
--- a/src/lab/mesh/world_processes.cpp
+++ b/src/lab/mesh/world_processes.cpp
@@ -27,7 +27,7 @@
   Machine& m = machines_[machine];
   Core& here = core(machine);
   here.calls.clear();
-  ControlNode::Built built;
+  ControlNode::Options built;
   built.node = {m.name};
   built.at = {address(machine)};
   built.zone = "z" + std::to_string(m.zone);
@@ -60,7 +60,7 @@
 
 void World::tickControl(std::size_t machine, std::uint64_t life) {
   act(machine, core(machine).control->tick(now_));
-  atProcess(now_ + ControlNode::tickEvery(), machine, life,
+  atProcess(now_ + ControlNode::tickInterval(), machine, life,
             [this, machine, life] { tickControl(machine, life); });
 }
 
@@ -120,7 +120,7 @@
   Core& here = core(machine);
   for (const ControlAction& act : acts) {
     switch (act.kind) {
-      case ControlAction::Kind::say: {
+      case ControlAction::Kind::send: {
         const auto link = sessions_[machine].find(act.session.value);
         if (link != sessions_[machine].end()) send(link->second, link->second->a == machine, *act.text);
         break;
@@ -128,7 +128,7 @@
       case ControlAction::Kind::dial:
         dial(machine, act.at);
         break;
-      case ControlAction::Kind::hangUp: {
+      case ControlAction::Kind::close: {
         const auto link = sessions_[machine].find(act.session.value);
         if (link == sessions_[machine].end()) break;
         const LinkPtr held = link->second;
--- a/src/mesh/admission/admission.cpp
+++ b/src/mesh/admission/admission.cpp
@@ -215,7 +215,7 @@
     told.load = Load{server->busy, static_cast<std::uint32_t>(server->waiting.size())};
     told.wait = waitAhead(*server);
   }
-  if (verdict == Verdict::voteless) told.wait = claims_.comeBack(now);
+  if (verdict == Verdict::voteless) told.wait = claims_.retryAfter(now);
   return told;
 }
 
@@ -230,9 +230,9 @@
   };
   const auto found = servers_.find(ask.instance);
   const Server* here = found == servers_.end() ? nullptr : &found->second;
-  std::optional<KeyPrint> print;
+  std::optional<KeyHash> print;
   if (key) {
-    print = printOfKey(*key);
+    print = hashOfKey(*key);
     const auto past = operations_.find(*print);
     if (past != operations_.end()) {
       ForwardReply told = toldOf(now, Verdict::ran, here);
@@ -268,7 +268,7 @@
     answer(toldOf(now, Verdict::leaving, &server));
     return acts;
   }
-  if (print && !claims_.hopeful(now)) {
+  if (print && !claims_.canWin(now)) {
     answer(toldOf(now, Verdict::voteless, &server));
     return acts;
   }
@@ -395,7 +395,7 @@
   acts.push_back(std::move(act));
 }
 
-AdmissionActions Admission::claimEnded(Span now, const Claims::Ended& ended) {
+AdmissionActions Admission::claimEnded(Span now, const Claims::Outcome& ended) {
   AdmissionActions acts;
   const auto found = claiming_.find(ended.no);
   if (found == claiming_.end()) return acts;
@@ -476,7 +476,7 @@
   return acts;
 }
 
-void Admission::endOperation(Span now, const KeyPrint& key, Past past, const ServerAnswer& answer,
+void Admission::endOperation(Span now, const KeyHash& key, Past past, const ServerAnswer& answer,
                              AdmissionActions& acts) {
   Operation& operation = operations_.at(key);
   operation.past = past;
@@ -506,7 +506,7 @@
   }
 }
 
-void Admission::forgetOperation(Span now, const KeyPrint& key, AdmissionActions& acts) {
+void Admission::forgetOperation(Span now, const KeyHash& key, AdmissionActions& acts) {
   const auto found = operations_.find(key);
   if (found == operations_.end()) return;
   for (const auto& [no, until] : found->second.waiters) {
@@ -533,7 +533,7 @@
 
 AdmissionActions Admission::tick(Span now) {
   AdmissionActions acts;
-  for (const Claims::Ended& ended : claims_.expire(now)) {
+  for (const Claims::Outcome& ended : claims_.expire(now)) {
     const AdmissionActions more = claimEnded(now, ended);
     acts.insert(acts.end(), more.begin(), more.end());
   }
@@ -582,12 +582,12 @@
 }
 
 std::optional<Span> Admission::nextTick() const {
-  std::optional<Span> next = claims_.nextEnd();
+  std::optional<Span> next = claims_.nextDeadline();
   const auto earlier = [&](Span at) { next = std::min(next.value_or(at), at); };
   for (const auto& [id, server] : servers_) {
     for (const AskNo no : server.waiting) earlier(jobs_.at(no).startBy);
   }
-  for (const KeyPrint& key : awaited_) {
+  for (const KeyHash& key : awaited_) {
     const auto found = operations_.find(key);
     if (found == operations_.end()) continue;
     for (const auto& waiter : found->second.waiters) earlier(waiter.second);
--- a/src/mesh/admission/admission.hpp
+++ b/src/mesh/admission/admission.hpp
@@ -58,7 +58,7 @@
   ForwardReply told{};                  // answer
   std::shared_ptr<const void> bytes{};  // answer: the server's, if there is one
   std::size_t size = 0;                 // answer: of the bytes, as memory
-  KeyPrint key{};                       // claim, giveBack
+  KeyHash key{};                        // claim, giveBack
   ClaimNo claim{};                      // claim, giveBack
   Served served{};                      // tell
 };
@@ -91,7 +91,7 @@
   /// A request from another process; key: of its operation, if its route is keyed.
   AdmissionActions asked(Span now, AskNo no, const ForwardRequest& ask,
                          const std::optional<std::string>& key);
-  AdmissionActions claimEnded(Span now, const Claims::Ended& ended);
+  AdmissionActions claimEnded(Span now, const Claims::Outcome& ended);
   AdmissionActions ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer);
   /// The connection that the request came on has ended: its caller left, or the way broke. One that waits is
   /// turned away; one at work is cancelled if it may be repeated; a keyed one goes on, as a repeat may want
@@ -130,7 +130,7 @@
     double value = 0;   // worth for each second of it
     Span startedAt{};
     Stage stage = Stage::claiming;
-    std::optional<KeyPrint> key;
+    std::optional<KeyHash> key;
     ClaimNo claim;
   };
   enum class Past { working, answered, unknown };
@@ -160,9 +160,9 @@
   void next(Span now, Server& server, AdmissionActions& acts);
   void refuse(Span now, AskNo no, Verdict verdict, const Server* server, AdmissionActions& acts,
               std::optional<Holder> holder = {});
-  void endOperation(Span now, const KeyPrint& key, Past past, const ServerAnswer& answer,
+  void endOperation(Span now, const KeyHash& key, Past past, const ServerAnswer& answer,
                     AdmissionActions& acts);
-  void forgetOperation(Span now, const KeyPrint& key, AdmissionActions& acts);
+  void forgetOperation(Span now, const KeyHash& key, AdmissionActions& acts);
   void settle(Span now, AskNo no, AdmissionActions& acts);
   [[nodiscard]] bool open(Span now, const Server& server) const;
   [[nodiscard]] Span waitAhead(const Server& server) const;
@@ -178,10 +178,10 @@
   std::deque<InstanceId> departedInOrder_;  // as they became known
   std::map<AskNo, Job> jobs_;
   std::map<ClaimNo, AskNo> claiming_;
-  std::unordered_map<KeyPrint, Operation, HashKeyPrint> operations_;
-  std::map<std::string, double> lengths_;        // seconds, by route
-  std::set<KeyPrint> awaited_;                   // operations at work that repeats may wait for
-  std::deque<std::pair<Span, KeyPrint>> ended_;  // operations, as they ended
+  std::unordered_map<KeyHash, Operation, KeyHashHasher> operations_;
+  std::map<std::string, double> lengths_;       // seconds, by route
+  std::set<KeyHash> awaited_;                   // operations at work that repeats may wait for
+  std::deque<std::pair<Span, KeyHash>> ended_;  // operations, as they ended
   std::size_t kept_ = 0;
   std::uint64_t said_ = 0;
   LifeNo newsLife_;        // in news of servers; built_.life but where an earlier life had a higher one
--- a/src/mesh/balancing/retry_budget.hpp
+++ b/src/mesh/balancing/retry_budget.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// What one process may add to a service's load by further tries. The whole fleet's allowance is a ratio of
-// the requests and a slack in every window; each process takes a part of both that holds whatever it hears.
-// It owns its counts, and must never give out more than its part.
+// Limits the retries and hedged requests that one process adds to a service's load. The fleet-wide allowance
+// is a ratio of the requests plus a fixed number per window; every process enforces its own share of both
+// locally, so the limit holds without coordination.
 
 #include <algorithm>
 #include <cstdint>
@@ -11,47 +11,49 @@
 
 namespace rackroute::mesh {
 
-struct Allowance {
-  double ratio = 0;  // further arrivals for each request
-  double slack = 0;  // beyond that, of the whole fleet in a window
+struct RetryAllowance {
+  double ratio = 0;  // retries per request
+  double slack = 0;  // additional retries per window for the whole fleet
   Span window{};
 };
 
+/// A token bucket that is filled by requests and by elapsed time.
 class RetryBudget {
  public:
-  /// processes: how many share the slack.
-  void share(const Allowance& all, std::size_t processes) {
-    // A third of the ratio is kept back for calls that a repeated run makes again, which nobody can refuse
-    // one by one, and another third for windows that slide over the edge of a count.
+  /// processes: number of processes that share the slack.
+  void configure(const RetryAllowance& all, std::size_t processes) {
+    // One third of the ratio is reserved for re-execution of repeated calls, which cannot be refused one by
+    // one, and another third for sliding windows that span two counting periods.
     ratio_ = all.ratio / 3;
-    most_ = all.slack / 2 / static_cast<double>(std::max<std::size_t>(processes, 1));
-    held_ = std::min(held_, most_);
-    gain_ = all.window > Span{0} ? most_ / 2 / std::chrono::duration<double>(all.window).count() : 0;
+    capacity_ = all.slack / 2 / static_cast<double>(std::max<std::size_t>(processes, 1));
+    tokens_ = std::min(tokens_, capacity_);
+    refillRate_ =
+        all.window > Span{0} ? capacity_ / 2 / std::chrono::duration<double>(all.window).count() : 0;
   }
-  void request(Span now) {
+  void onRequest(Span now) {
     refill(now);
-    held_ = std::min(most_, held_ + ratio_);
+    tokens_ = std::min(capacity_, tokens_ + ratio_);
   }
-  /// Takes one, if there is one.
-  bool take(Span now) {
+  /// Takes one token. False: none is available.
+  bool tryTake(Span now) {
     refill(now);
-    if (held_ < 1) return false;
-    held_ -= 1;
+    if (tokens_ < 1) return false;
+    tokens_ -= 1;
     return true;
   }
-  [[nodiscard]] double held() const { return held_; }
+  [[nodiscard]] double available() const { return tokens_; }
 
  private:
   void refill(Span now) {
-    const double seconds = std::chrono::duration<double>(now - at_).count();
-    at_ = now;
-    if (seconds > 0) held_ = std::min(most_, held_ + seconds * gain_);
+    const double seconds = std::chrono::duration<double>(now - refilledAt_).count();
+    refilledAt_ = now;
+    if (seconds > 0) tokens_ = std::min(capacity_, tokens_ + seconds * refillRate_);
   }
   double ratio_ = 0;
-  double most_ = 0;
-  double gain_ = 0;  // a second
-  double held_ = 0;
-  Span at_{};
+  double capacity_ = 0;
+  double refillRate_ = 0;  // tokens per second
+  double tokens_ = 0;
+  Span refilledAt_{};
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/balancing/server_pool.cpp
+++ b/src/mesh/balancing/server_pool.cpp
@@ -6,44 +6,44 @@
 #include <cassert>
 #include <utility>
 
-#include "mesh/registry/server_news_merge.hpp"
+#include "mesh/registry/server_record_merge.hpp"
 
 namespace rackroute::mesh {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr std::uint32_t kRunToEject = 5;     // failures in a row, as the source has it
-constexpr Span kOut = 10s;                   // until the trial, in the mean; the source has 30 s
-constexpr double kOutSpread = 0.5;           // of that; who ejected together does not try again together
-constexpr double kMostOut = 0.5;             // of a service's servers
-constexpr double kGain = 0.1;                // of weight for a success
-constexpr double kFloor = 0.05;              // of weight
-constexpr std::uint32_t kSpareInFlight = 2;  // beyond twice the mean, before a server is skipped
-constexpr double kColdPart = 0.3;            // of its chance while a server is cold
-constexpr double kElsewhere = 0.1;   // chance of a server in another zone beside one here with equal room
-constexpr double kAmpleRoom = 0.2;   // of the own zone's slots; with less the others' chance rises
-constexpr double kLeastRoom = 0.02;  // a full server is still picked now and then, to see it empty
-constexpr Span kVoteless = 700ms;    // without keyed work for a process that reached no quorum
-constexpr Span kStrange = 3s;        // without work for a server that its process does not know
-constexpr Span kUnheardKept = 120s;  // a season of cuts is shorter; afterwards a silent server is gone
+constexpr std::uint32_t kFailuresToEject = 5;  // consecutive failures
+constexpr Span kEjectionTime = 10s;            // mean time until the probe
+constexpr double kEjectionJitter = 0.5;   // fraction of the time; spreads the probes of several processes
+constexpr double kMaxEjectedShare = 0.5;  // of a service's servers
+constexpr double kWeightGain = 0.1;       // for each success
+constexpr double kMinWeight = 0.05;
+constexpr std::uint32_t kSpareInFlight = 2;    // above twice the mean, before a server is skipped
+constexpr double kColdFactor = 0.3;            // applied to the selection weight of a cold server
+constexpr double kOtherZoneFactor = 0.1;       // relative to a server in the own zone with as many free slots
+constexpr double kOwnZoneFreeShare = 0.2;      // share of free slots below which other zones gain weight
+constexpr double kMinFreeShare = 0.02;         // keeps full servers selectable, to notice freed slots
+constexpr Span kNoQuorumBackoff = 700ms;       // no keyed requests to a sidecar without a quorum
+constexpr Span kUnknownBackoff = 3s;           // no requests to a server that its sidecar does not know
+constexpr Span kDisconnectedRetention = 120s;  // outlasts network partitions; removed afterwards
 
 }  // namespace
 
 ServerPool::ServerPool(std::string ownZone, NodeName self, std::uint64_t seed)
-    : ownZone_(std::move(ownZone)), self_(std::move(self)), chance_(seed) {}
+    : ownZone_(std::move(ownZone)), self_(std::move(self)), random_(seed) {}
 
-void ServerPool::told(Span now, const Served& server, bool heard) {
+void ServerPool::update(Span now, const Served& server, bool connected) {
   Group& group = groups_[server.service];
   const auto found = group.find(server.id);
   if (found == group.end()) {
     if (server.gone || server.replaced) return;
     Server fresh;
-    fresh.told = server;
-    fresh.heard = heard;
-    fresh.unheardSince = now;
+    fresh.record = server;
+    fresh.connected = connected;
+    fresh.connectionChangedAt = now;
     fresh.coldUntil = now + server.coldLeft;
-    // A new server's weight starts at the mean of the others, or 1 if there is none.
+    // A new server starts at the mean weight of the others, or at 1 if it is the first.
     double sum = 0;
     for (const auto& [id, other] : group) sum += other.weight;
     if (!group.empty()) fresh.weight = sum / static_cast<double>(group.size());
@@ -51,170 +51,177 @@
     serviceOf_[server.id] = server.service;
     return;
   }
-  Server& held = found->second;
-  const LifeNo life = held.told.life;
-  const bool newer = std::pair(server.life, server.seq) > std::pair(life, held.told.seq);
-  mergeNews(held.told, server);
+  Server& existing = found->second;
+  const LifeNo life = existing.record.life;
+  const bool newer = std::pair(server.life, server.seq) > std::pair(life, existing.record.seq);
+  mergeServerRecord(existing.record, server);
   if (newer) {
-    held.coldUntil = now + server.coldLeft;
-    held.strangeUntil = Span{0};
-    if (server.life != life) held.leaving = false;
+    existing.coldUntil = now + server.coldLeft;
+    existing.unknownUntil = Span{0};
+    if (server.life != life) existing.reportedDraining = false;
   }
-  if (held.heard != heard) held.unheardSince = now;
-  held.heard = heard;
+  if (existing.connected != connected) existing.connectionChangedAt = now;
+  existing.connected = connected;
 }
 
-double ServerPool::slotsOf(const Server& server) { return std::max<std::uint32_t>(server.told.capacity, 1); }
+double ServerPool::slotsOf(const Server& server) {
+  return std::max<std::uint32_t>(server.record.capacity, 1);
+}
 
-// Free slots as its admission told last, less what was sent from here since.
-double ServerPool::roomOf(const Server& server) {
-  const double since = static_cast<double>(server.mine) - static_cast<double>(server.mineThen);
+// Free slots as last reported by the server's sidecar, less the requests sent from here since then.
+double ServerPool::freeSlotsOf(const Server& server) {
+  const double since = static_cast<double>(server.inFlight) - static_cast<double>(server.inFlightAtLoad);
   return slotsOf(server) - std::max(0.0, server.load.busy + server.load.queued + since);
 }
 
-// Bytes between zones are dear, waiting is dearer: the fuller the own zone, the more goes elsewhere.
-double ServerPool::elsewhere(Span now, const Group& group) const {
+// Weight of servers in other zones: traffic between zones is expensive, but queueing is worse, so the factor
+// rises to 1 as the own zone runs out of free slots.
+double ServerPool::otherZoneFactor(Span now, const Group& group) const {
   double slots = 0;
-  double room = 0;
+  double freeSlots = 0;
   for (const auto& [id, server] : group) {
-    if (server.told.zone != ownZone_ || !known(now, server) || server.out || !server.heard) continue;
+    if (server.record.zone != ownZone_ || !known(now, server) || server.ejected || !server.connected)
+      continue;
     slots += slotsOf(server);
-    room += std::max(0.0, roomOf(server)) * server.weight;
+    freeSlots += std::max(0.0, freeSlotsOf(server)) * server.weight;
   }
   if (slots <= 0) return 1;
-  return 1 - (1 - kElsewhere) * std::min(1.0, room / slots / kAmpleRoom);
+  return 1 - (1 - kOtherZoneFactor) * std::min(1.0, freeSlots / slots / kOwnZoneFreeShare);
 }
 
-double ServerPool::chance(Span now, const Server& server, double elsewhere) const {
+double ServerPool::selectionWeight(Span now, const Server& server, double otherZones) const {
   const double slots = slotsOf(server);
-  double chance = server.weight * std::max(kLeastRoom * slots, roomOf(server));
-  if (server.told.zone != ownZone_) chance *= elsewhere;
-  if (server.coldUntil > now) chance *= kColdPart;
-  return chance;
+  double weight = server.weight * std::max(kMinFreeShare * slots, freeSlotsOf(server));
+  if (server.record.zone != ownZone_) weight *= otherZones;
+  if (server.coldUntil > now) weight *= kColdFactor;
+  return weight;
 }
 
-std::optional<Picked> ServerPool::pick(Span now, const ServiceName& service, bool keyed,
-                                       const std::set<InstanceId>& but) {
+std::optional<PickedServer> ServerPool::pick(Span now, const ServiceName& service, bool keyed,
+                                             const std::set<InstanceId>& excluded) {
   const auto found = groups_.find(service);
   if (found == groups_.end()) return std::nullopt;
   Group& group = found->second;
-  check(group);
+  checkInvariants(group);
   std::size_t usableCount = 0;
   std::size_t knownCount = 0;
-  std::size_t unheard = 0;
+  std::size_t disconnected = 0;
   double inFlight = 0;
   for (const auto& [id, server] : group) {
     if (!usable(server)) continue;
     ++usableCount;
     if (!known(now, server)) continue;
     ++knownCount;
-    if (!server.heard) ++unheard;
-    inFlight += server.mine;
+    if (!server.connected) ++disconnected;
+    inFlight += server.inFlight;
   }
   if (usableCount == 0) return std::nullopt;
-  // Guards against a detector that is deaf itself: when it misses half of the servers at once, it is doubted.
-  const bool doubted = 2 * unheard >= knownCount;
+  // When half of the servers appear disconnected at once, the connection information itself is not trusted.
+  const bool distrustConnections = 2 * disconnected >= knownCount;
   const double mean = inFlight / static_cast<double>(std::max<std::size_t>(knownCount, 1));
-  const double others = elsewhere(now, group);
-  std::vector<std::pair<double, Server*>> open;
-  // First with all that advises against a server, then without, then with servers whose failures ejected
-  // them long enough for a trial.
-  for (int strict = 2; strict >= 0 && open.empty(); --strict) {
+  const double otherZones = otherZoneFactor(now, group);
+  std::vector<std::pair<double, Server*>> candidates;
+  // Filters are relaxed step by step until a candidate remains: first the in-flight limit, then the
+  // connection, quorum and unknown-server checks.
+  for (int strict = 2; strict >= 0 && candidates.empty(); --strict) {
     for (auto& [id, server] : group) {
-      if (!usable(server) || but.count(id) > 0) continue;
-      if (server.out && (server.onTrial || server.trialAt > now)) continue;
+      if (!usable(server) || excluded.count(id) > 0) continue;
+      if (server.ejected && (server.probing || server.probeAt > now)) continue;
       if (strict > 0 && !known(now, server)) continue;
-      if (strict > 0 && !server.heard && !doubted) continue;
-      if (strict > 0 && keyed && server.votelessUntil > now) continue;
-      if (strict > 1 && server.mine > 2 * mean + kSpareInFlight) continue;
-      open.emplace_back(chance(now, server, others), &server);
+      if (strict > 0 && !server.connected && !distrustConnections) continue;
+      if (strict > 0 && keyed && server.noQuorumUntil > now) continue;
+      if (strict > 1 && server.inFlight > 2 * mean + kSpareInFlight) continue;
+      candidates.emplace_back(selectionWeight(now, server, otherZones), &server);
     }
   }
-  if (open.empty()) return std::nullopt;
+  if (candidates.empty()) return std::nullopt;
   double sum = 0;
-  for (const auto& candidate : open) sum += candidate.first;
-  double left = std::uniform_real_distribution<double>(0, sum)(chance_);
-  Server* chosen = open.back().second;
-  for (const auto& [chance, server] : open) {
-    if (left < chance) {
+  for (const auto& candidate : candidates) sum += candidate.first;
+  double left = std::uniform_real_distribution<double>(0, sum)(random_);
+  Server* chosen = candidates.back().second;
+  for (const auto& [weight, server] : candidates) {
+    if (left < weight) {
       chosen = server;
       break;
     }
-    left -= chance;
+    left -= weight;
   }
-  ++chosen->mine;
-  if (chosen->out) chosen->onTrial = true;
-  return Picked{chosen->told.id, chosen->told.at, chosen->told.life};
+  ++chosen->inFlight;
+  if (chosen->ejected) chosen->probing = true;
+  return PickedServer{chosen->record.id, chosen->record.at, chosen->record.life};
 }
 
-void ServerPool::failed(Span now, Server& server, Group& group) {
-  server.weight = std::max(kFloor, server.weight / 2);
-  ++server.run;
-  const auto outUntil = [&] {
-    const std::string pair = self_.value + '/' + server.told.id.value;
-    const double part = static_cast<double>(XXH3_64bits(pair.data(), pair.size()) % 1000) / 1000;
-    return now + std::chrono::duration_cast<Span>(kOut * (1 - kOutSpread / 2 + kOutSpread * part));
+void ServerPool::recordFailure(Span now, Server& server, Group& group) {
+  server.weight = std::max(kMinWeight, server.weight / 2);
+  ++server.failuresInRow;
+  const auto ejectedUntil = [&] {
+    const std::string pair = self_.value + '/' + server.record.id.value;
+    const double fraction = static_cast<double>(XXH3_64bits(pair.data(), pair.size()) % 1000) / 1000;
+    return now + std::chrono::duration_cast<Span>(kEjectionTime *
+                                                  (1 - kEjectionJitter / 2 + kEjectionJitter * fraction));
   };
-  if (server.out) {
-    server.onTrial = false;
-    server.trialAt = outUntil();
+  if (server.ejected) {
+    server.probing = false;
+    server.probeAt = ejectedUntil();
     return;
   }
-  if (server.run < kRunToEject) return;
+  if (server.failuresInRow < kFailuresToEject) return;
   std::size_t all = 0;
-  std::size_t out = 0;
+  std::size_t ejected = 0;
   for (const auto& [id, other] : group) {
     if (!known(now, other)) continue;
     ++all;
-    if (other.out) ++out;
+    if (other.ejected) ++ejected;
   }
-  // Guards against a broken way that looks like broken servers: past the cap nothing more is ejected.
-  if (static_cast<double>(out + 1) > kMostOut * static_cast<double>(all)) return;
-  server.out = true;
-  server.onTrial = false;
-  server.trialAt = outUntil();
+  // A broken network path looks like many broken servers: no server is ejected beyond the cap.
+  if (static_cast<double>(ejected + 1) > kMaxEjectedShare * static_cast<double>(all)) return;
+  server.ejected = true;
+  server.probing = false;
+  server.probeAt = ejectedUntil();
 }
 
-void ServerPool::ended(Span now, const InstanceId& id, Ending ending, const std::optional<Load>& load) {
+void ServerPool::recordOutcome(Span now, const InstanceId& id, ServerOutcome outcome,
+                               const std::optional<Load>& load) {
   Group* group = nullptr;
   Server* server = find(id, &group);
   if (server == nullptr) return;
-  if (server->mine > 0) --server->mine;
+  if (server->inFlight > 0) --server->inFlight;
   if (load) {
     server->load = *load;
-    server->mineThen = server->mine;
+    server->inFlightAtLoad = server->inFlight;
   }
-  switch (ending) {
-    case Ending::served:
-      server->weight = std::min(1.0, server->weight + kGain);
-      server->run = 0;
-      server->out = server->onTrial = false;
+  switch (outcome) {
+    case ServerOutcome::succeeded:
+      server->weight = std::min(1.0, server->weight + kWeightGain);
+      server->failuresInRow = 0;
+      server->ejected = server->probing = false;
       break;
-    case Ending::erred:
-      // It runs and answers; that counts for its weight, not for a run of failures.
-      server->weight = std::max(kFloor, server->weight / 2);
-      server->run = 0;
-      server->out = server->onTrial = false;
+    case ServerOutcome::serverError:
+      // The server responds: an error lowers its weight but is not counted as a consecutive failure.
+      server->weight = std::max(kMinWeight, server->weight / 2);
+      server->failuresInRow = 0;
+      server->ejected = server->probing = false;
       break;
-    case Ending::failed:
-    case Ending::wayFailed:
-      failed(now, *server, *group);
+    case ServerOutcome::failed:
+    case ServerOutcome::unreachable:
+      recordFailure(now, *server, *group);
       break;
-    case Ending::leaving:
-      server->leaving = true;
+    case ServerOutcome::draining:
+      server->reportedDraining = true;
       break;
-    case Ending::strange:
-      // Its own process says so, which is no detector's doubt: until other news of it, or a while later.
-      server->strangeUntil = now + kStrange;
+    case ServerOutcome::unknownServer:
+      // Reported by the server's own sidecar, so this also applies while connection information is
+      // distrusted. It holds until a newer record of the server or for the backoff.
+      server->unknownUntil = now + kUnknownBackoff;
       break;
-    case Ending::voteless:
-      server->votelessUntil = now + kVoteless;
+    case ServerOutcome::noQuorum:
+      server->noQuorumUntil = now + kNoQuorumBackoff;
       break;
-    case Ending::full:
+    case ServerOutcome::atCapacity:
       break;
   }
-  // A trial that told nothing of the server's health leaves it out, for the next request to try.
-  if (server->out) server->onTrial = false;
+  // An inconclusive probe leaves the server ejected; the next request may probe it again.
+  if (server->ejected) server->probing = false;
 }
 
 ServerPool::Server* ServerPool::find(const InstanceId& id, Group** group) {
@@ -225,19 +232,19 @@
   return found == (*group)->end() ? nullptr : &found->second;
 }
 
-std::size_t ServerPool::standing(const ServiceName& service) const {
+std::size_t ServerPool::countUsable(const ServiceName& service) const {
   const auto group = groups_.find(service);
   if (group == groups_.end()) return 0;
   return static_cast<std::size_t>(std::count_if(group->second.begin(), group->second.end(),
                                                 [](const auto& entry) { return usable(entry.second); }));
 }
 
-std::size_t ServerPool::ejected(Span now, const ServiceName& service) const {
+std::size_t ServerPool::countEjected(Span now, const ServiceName& service) const {
   const auto group = groups_.find(service);
   if (group == groups_.end()) return 0;
   return static_cast<std::size_t>(
       std::count_if(group->second.begin(), group->second.end(), [&](const auto& entry) {
-        return usable(entry.second) && entry.second.out && entry.second.trialAt > now;
+        return usable(entry.second) && entry.second.ejected && entry.second.probeAt > now;
       }));
 }
 
@@ -245,9 +252,9 @@
   for (auto& [service, group] : groups_) {
     for (auto at = group.begin(); at != group.end();) {
       const Server& server = at->second;
-      const bool over = server.told.gone || server.told.replaced ||
-                        (!server.heard && server.unheardSince + kUnheardKept < now);
-      if (over && server.mine == 0) {
+      const bool expired = server.record.gone || server.record.replaced ||
+                           (!server.connected && server.connectionChangedAt + kDisconnectedRetention < now);
+      if (expired && server.inFlight == 0) {
         serviceOf_.erase(at->first);
         at = group.erase(at);
       } else {
@@ -257,11 +264,12 @@
   }
 }
 
-// The cap binds when a server is ejected; servers that leave later may shrink the pool under it.
-void ServerPool::check(const Group& group) const {
+// The cap on the ejected share applies when a server is ejected and may be exceeded when others leave later,
+// so it is not checked here.
+void ServerPool::checkInvariants(const Group& group) const {
   for (const auto& [id, server] : group) {
-    assert(server.weight >= kFloor && server.weight <= 1);
-    assert(!server.onTrial || server.out);
+    assert(server.weight >= kMinWeight && server.weight <= 1);
+    assert(!server.probing || server.ejected);
     static_cast<void>(id);
     static_cast<void>(server);
   }
--- a/src/mesh/balancing/server_pool.hpp
+++ b/src/mesh/balancing/server_pool.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-// The servers that one process may send requests to, and which of them gets the next: the held set, failure
-// runs that eject until a trial, the capped share, the weights that pick. It owns what was learned of each
-// server; no I/O, no clock, and chance only from a seed. It must never pick a server that drains, has signed
-// off or is out, and never let go of a server because a list lacks it.
+// The servers that one process may send requests to, and the choice of the next one: outlier ejection with
+// probes, a cap on the ejected share, in-flight limits and weighted random selection. Performs no I/O and
+// reads no clock; randomness comes from a seed. A server that drains, has signed off or is ejected must not
+// be picked, and a server is not removed merely because an update does not list it.
 
 #include <cstdint>
 #include <map>
@@ -16,84 +16,86 @@
 
 namespace rackroute::mesh {
 
-/// How an execution ended, as far as its server is concerned.
-enum class Ending {
-  served,     // the server answered with success
-  erred,      // the server answered that it failed
-  failed,     // reset, silence or spoilt bytes at the server, as its own process relays
-  wayFailed,  // its process could not be reached, or broke off
-  full,       // turned away as nothing was free; says nothing of its health
-  leaving,    // turned away as it leaves
-  strange,    // that process knows no such server
-  voteless,   // its process reaches no quorum: nothing for keyed work
+/// Result of a request execution as far as its server's health is concerned.
+enum class ServerOutcome {
+  succeeded,      // the server answered successfully
+  serverError,    // the server answered with an error
+  failed,         // connection reset, timeout or malformed response at the server, as its sidecar reports
+  unreachable,    // the server's sidecar could not be reached, or the connection broke
+  atCapacity,     // rejected for lack of a free slot; no evidence about the server's health
+  draining,       // rejected because the server drains
+  unknownServer,  // the sidecar knows no such server
+  noQuorum,       // the sidecar reaches no quorum of voters and cannot run keyed requests
 };
 
-/// What a server's process told of its load along with an answer.
+/// A server's load as its sidecar reports it with a response.
 struct Load {
   std::uint32_t busy = 0;
   std::uint32_t queued = 0;
 };
 
-struct Picked {
+struct PickedServer {
   InstanceId id;
   Address at;
-  LifeNo life;  // of the process there
+  LifeNo life;  // of the sidecar at that address
 };
 
 class ServerPool {
  public:
   ServerPool(std::string ownZone, NodeName self, std::uint64_t seed);
 
-  /// News of one server; heard: whether its process's session stands.
-  void told(Span now, const Served& server, bool heard);
-  /// One of the service's servers that is none of these, or nothing.
-  std::optional<Picked> pick(Span now, const ServiceName& service, bool keyed,
-                             const std::set<InstanceId>& but);
-  void ended(Span now, const InstanceId& id, Ending ending, const std::optional<Load>& load);
-  /// Servers of the service that may be picked at all, out or not.
-  [[nodiscard]] std::size_t standing(const ServiceName& service) const;
-  [[nodiscard]] std::size_t ejected(Span now, const ServiceName& service) const;
-  /// Forgets servers that signed off, and those long unheard.
+  /// Adds or updates a server. connected: whether its sidecar has a session with the control plane.
+  void update(Span now, const Served& server, bool connected);
+  /// Picks one of the service's servers that is not excluded. None: no server is eligible.
+  std::optional<PickedServer> pick(Span now, const ServiceName& service, bool keyed,
+                                   const std::set<InstanceId>& excluded);
+  void recordOutcome(Span now, const InstanceId& id, ServerOutcome outcome, const std::optional<Load>& load);
+  /// Number of the service's servers that neither drain nor have ended, including ejected ones.
+  [[nodiscard]] std::size_t countUsable(const ServiceName& service) const;
+  /// Number of the service's servers that are ejected and whose probe is not due.
+  [[nodiscard]] std::size_t countEjected(Span now, const ServiceName& service) const;
+  /// Removes servers that signed off or were replaced, and those disconnected for too long.
   void sweep(Span now);
 
  private:
   struct Server {
-    Served told;
-    bool heard = true;
-    Span unheardSince{};
+    Served record;
+    bool connected = true;
+    Span connectionChangedAt{};
     Span coldUntil{};
     double weight = 1;
-    std::uint32_t run = 0;
-    bool out = false;  // ejected until its trial succeeds
-    Span trialAt{};
-    bool onTrial = false;
-    Span votelessUntil{};
-    Span strangeUntil{};     // its process does not know it
-    std::uint32_t mine = 0;  // executions from here
+    std::uint32_t failuresInRow = 0;
+    bool ejected = false;  // until a probe succeeds
+    Span probeAt{};
+    bool probing = false;
+    Span noQuorumUntil{};
+    Span unknownUntil{};         // its sidecar reported that it does not know the server
+    std::uint32_t inFlight = 0;  // requests from this process
     Load load{};
-    std::uint32_t mineThen = 0;  // when the load was told
-    bool leaving = false;        // it said so itself
+    std::uint32_t inFlightAtLoad = 0;  // inFlight when the load was reported
+    bool reportedDraining = false;     // its sidecar rejected a request because the server drains
   };
   using Group = std::map<InstanceId, Server>;
   [[nodiscard]] static bool usable(const Server& server) {
-    const Served& told = server.told;
-    return !told.draining && !told.gone && !told.replaced && !told.leaving && !server.leaving;
+    const Served& record = server.record;
+    return !record.draining && !record.gone && !record.replaced && !record.leaving &&
+           !server.reportedDraining;
   }
-  /// Its own process has not said, a short while ago, that there is no such server.
+  /// Usable, and not recently reported as unknown by its sidecar.
   [[nodiscard]] static bool known(Span now, const Server& server) {
-    return usable(server) && server.strangeUntil <= now;
+    return usable(server) && server.unknownUntil <= now;
   }
   [[nodiscard]] static double slotsOf(const Server& server);
-  [[nodiscard]] static double roomOf(const Server& server);
-  [[nodiscard]] double elsewhere(Span now, const Group& group) const;
-  [[nodiscard]] double chance(Span now, const Server& server, double elsewhere) const;
-  void failed(Span now, Server& server, Group& group);
+  [[nodiscard]] static double freeSlotsOf(const Server& server);
+  [[nodiscard]] double otherZoneFactor(Span now, const Group& group) const;
+  [[nodiscard]] double selectionWeight(Span now, const Server& server, double otherZones) const;
+  void recordFailure(Span now, Server& server, Group& group);
   Server* find(const InstanceId& id, Group** group);
-  void check(const Group& group) const;
+  void checkInvariants(const Group& group) const;
 
   std::string ownZone_;
   NodeName self_;
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   std::map<ServiceName, Group> groups_;
   std::map<InstanceId, ServiceName> serviceOf_;
 };
--- a/src/mesh/claims/claims.hpp
+++ b/src/mesh/claims/claims.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-// The claims that one life of a data-plane process makes on operation keys. A claim asks every voter of the
-// set in force to promise the key to it, and is won with the votes of a majority of that one set, so two
-// claims of one key are never both won. Claims own the open claims and their votes; a state machine without
-// I/O or clock. Votes of two epochs must never be counted together.
+// The claims on operation keys that one run of a data-plane process has open. A claim asks every voter of the
+// current set to promise the key to it and is won with the votes of a majority of that set, so two claims on
+// one key cannot both be won. A state machine without I/O or clock; votes of different epochs must not be
+// counted together.
 
 #include <cstddef>
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include <optional>
 #include <vector>
 
-#include "mesh/claims/key_print.hpp"
+#include "mesh/claims/key_hash.hpp"
 #include "mesh/claims/promises.hpp"
 #include "mesh/control/voter_set.hpp"
 #include "mesh/names.hpp"
@@ -21,55 +21,57 @@
 
 class Claims {
  public:
-  struct Ended {
+  struct Outcome {
     ClaimNo no;
     bool won = false;
-    std::optional<Holder> holder;  // who holds it, if a voter said so
+    std::optional<Holder> holder;  // the current holder, if a voter named it
   };
-  struct Open {
+  struct OpenClaim {
     ClaimNo no;
-    KeyPrint key;
+    KeyHash key;
   };
 
-  /// The set of voters in force. With a newer epoch than the one held, the votes for all open claims are
-  /// dropped, and the caller must ask all voters of the set anew (openClaims()). Another one changes nothing.
-  void electorate(const VoterSet& set);
-  /// Of the set in force; 0: none has been told yet, and no claim can be won.
+  /// Installs the set of voters if its epoch is newer than the current one. The votes for all open claims are
+  /// then discarded, and the caller must request votes from all voters of the set again (openClaims()).
+  void setVoters(const VoterSet& set);
+  /// Epoch of the current set; 0: there is none yet, and no claim can be won.
   [[nodiscard]] Epoch epoch() const { return set_->epoch; }
-  /// How many voters of the set are within reach now.
-  void reach(std::size_t voters) { reached_ = voters; }
+  void setReachableVoters(std::size_t voters) { reachableVoters_ = voters; }
   /// Whether a claim could be won now.
-  [[nodiscard]] bool hopeful(Span now) const { return quorumInReach() && now >= hopelessUntil_; }
-  /// When one that could not be won may be tried again: soon, while the voters may only be slow.
-  [[nodiscard]] Span comeBack(Span now) const;
-  ClaimNo open(Span now, const KeyPrint& key, Span until);
-  /// A vote that was given in that epoch. Nothing: the claim is not decided by it, or was before, or the vote
-  /// does not count (another epoch, no voter of the set, an earlier incarnation, a voter that has voted).
-  std::optional<Ended> vote(const VoterId& voter, Epoch epoch, ClaimNo no, bool granted,
-                            const std::optional<Holder>& holder);
-  /// Claims whose time is over without a majority; all, where no majority is within reach.
-  std::vector<Ended> expire(Span now);
-  [[nodiscard]] std::optional<Span> nextEnd() const;
-  /// Those without this voter's vote, to be told to it when its session stands anew.
-  [[nodiscard]] std::vector<Open> without(const VoterId& voter) const;
-  /// All of them, to be told to all voters of a newer set.
-  [[nodiscard]] std::vector<Open> openClaims() const;
+  [[nodiscard]] bool canWin(Span now) const { return quorumReachable() && now >= suspendedUntil_; }
+  /// The delay after which an undecided claim may be retried: short while the voters may merely be slow.
+  [[nodiscard]] Span retryAfter(Span now) const;
+  ClaimNo open(Span now, const KeyHash& key, Span until);
+  /// Counts a vote that was given in that epoch. Returns the outcome if the vote decides the claim. Votes of
+  /// another epoch, of non-members and earlier incarnations, repeated votes, and votes on claims that are
+  /// already decided are ignored.
+  std::optional<Outcome> vote(const VoterId& voter, Epoch epoch, ClaimNo no, bool granted,
+                              const std::optional<Holder>& holder);
+  /// Ends claims that reached their deadline without a majority, or all if no quorum is reachable.
+  std::vector<Outcome> expire(Span now);
+  [[nodiscard]] std::optional<Span> nextDeadline() const;
+  /// Open claims that lack this voter's vote, to be requested again after a reconnect.
+  [[nodiscard]] std::vector<OpenClaim> openWithoutVoteOf(const VoterId& voter) const;
+  /// All open claims, to be requested from all voters of a newer set.
+  [[nodiscard]] std::vector<OpenClaim> openClaims() const;
 
  private:
   struct Claim {
-    KeyPrint key;
+    KeyHash key;
     Span until{};
     VoteCount granted;
     VoteCount refused;
-    std::vector<Holder> named;  // by those that refused
+    std::vector<Holder> named;  // holders named by the voters that refused
   };
-  [[nodiscard]] bool quorumInReach() const { return epoch().value > 0 && reached_ >= set_->quorum(); }
+  [[nodiscard]] bool quorumReachable() const {
+    return epoch().value > 0 && reachableVoters_ >= set_->quorum();
+  }
 
-  // Shared, as the votes of a copy count by the set as well.
+  // Shared because the vote counts of copies refer to the set, too.
   std::shared_ptr<const VoterSet> set_ = std::make_shared<const VoterSet>();
-  std::size_t reached_ = 0;
-  Span hopelessUntil_{};               // after a claim that nobody decided
-  Span undecidedSince_ = Span::max();  // since when none has been
+  std::size_t reachableVoters_ = 0;
+  Span suspendedUntil_{};              // no new claims after one stayed undecided
+  Span undecidedSince_ = Span::max();  // time of the first undecided claim since the last decision
   std::uint64_t last_ = 0;
   std::map<ClaimNo, Claim> open_;
 };
--- a/src/mesh/claims/promises.cpp
+++ b/src/mesh/claims/promises.cpp
@@ -5,14 +5,14 @@
 namespace rackroute::mesh {
 namespace {
 
-constexpr std::size_t kEndedACall = 512;  // promises; some seconds' worth, so that none holds up a vote
-// Of one key, beyond the first; each is a claim that lost and was not released yet, and there are few voters
-// that can have promised to different ones.
-constexpr std::size_t kMostFurther = 15;
+constexpr std::size_t kMaxExpiredPerCall = 512;  // bounds the time that votes are delayed
+// Limit for one key. Each further holder is a losing claim that is not released yet; the number of voters
+// bounds how many there can be.
+constexpr std::size_t kMaxFurtherHolders = 15;
 
 }  // namespace
 
-const Holder& Promises::claim(Span now, const KeyPrint& key, const Holder& claim) {
+const Holder& Promises::claim(Span now, const KeyHash& key, const Holder& claim) {
   const auto [found, added] = promises_.try_emplace(key, Promise{claim, now});
   const Holder& first = found->second.holder;
   if (added) order_.emplace_back(now, key);
@@ -21,7 +21,7 @@
   return further == further_.end() ? first : further->second.holders.front();
 }
 
-bool Promises::giveBack(const KeyPrint& key, const Holder& holder) {
+bool Promises::release(const KeyHash& key, const Holder& holder) {
   const auto found = promises_.find(key);
   if (found == promises_.end()) return false;
   const auto further = further_.find(key);
@@ -30,57 +30,58 @@
     promises_.erase(found);
     return true;
   }
-  // Guards against a holder that is not kept for want of room: nobody knows when it is released.
+  // A holder that exceeded the limit is not stored, so its release cannot be observed.
   if (further->second.overflowed) return false;
   std::vector<Holder>& others = further->second.holders;
   if (found->second.holder == holder) {
     found->second.holder = others.front();
     others.erase(others.begin());
   } else {
-    const auto place = std::find(others.begin(), others.end(), holder);
-    if (place == others.end()) return false;
-    others.erase(place);
+    const auto position = std::find(others.begin(), others.end(), holder);
+    if (position == others.end()) return false;
+    others.erase(position);
   }
   if (others.empty()) further_.erase(further);
   return true;
 }
 
-void Promises::learn(Span at, const KeyPrint& key, const Holder& holder) {
+void Promises::learn(Span at, const KeyHash& key, const Holder& holder) {
   const auto [found, added] = promises_.try_emplace(key, Promise{holder, at});
   if (added) {
     order_.emplace_back(at, key);
     return;
   }
   if (found->second.at < at) {
-    // All holders end with the one that was promised last, so that none ends early.
+    // All holders of a key expire with the latest promise, so that none expires early.
     found->second.at = at;
     order_.emplace_back(at, key);
   }
   if (found->second.holder != holder) learnFurther(key, holder);
 }
 
-// Guards against the promise of a claim that lost being read before the winner's, and then being released:
-// the winner's must still stand.
-void Promises::learnFurther(const KeyPrint& key, const Holder& holder) {
-  Further& further = further_[key];
+// The promise of a losing claim may be read before the winner's and then be released; the winner's promise
+// must survive that.
+void Promises::learnFurther(const KeyHash& key, const Holder& holder) {
+  FurtherHolders& further = further_[key];
   const auto known = std::find(further.holders.begin(), further.holders.end(), holder);
   if (known != further.holders.end()) return;
-  if (further.holders.size() < kMostFurther) {
+  if (further.holders.size() < kMaxFurtherHolders) {
     further.holders.push_back(holder);
   } else {
     further.overflowed = true;
   }
 }
 
-std::vector<KeyPrint> Promises::expire(Span now) {
-  std::vector<KeyPrint> ended;
-  while (first_ < order_.size() && order_[first_].first + keep_ <= now && ended.size() < kEndedACall) {
-    const KeyPrint key = order_[first_].second;
+std::vector<KeyHash> Promises::expire(Span now) {
+  std::vector<KeyHash> expired;
+  while (first_ < order_.size() && order_[first_].first + keep_ <= now &&
+         expired.size() < kMaxExpiredPerCall) {
+    const KeyHash key = order_[first_].second;
     ++first_;
     const auto found = promises_.find(key);
-    // Released and promised anew since, or learned with a later time: that has its own place in the order.
+    // Outdated entry: the key was promised again, or learned with a later time, and has a later entry.
     if (found == promises_.end() || found->second.at + keep_ > now) continue;
-    ended.push_back(key);
+    expired.push_back(key);
     promises_.erase(found);
     further_.erase(key);
   }
@@ -88,10 +89,10 @@
     order_.erase(order_.begin(), order_.begin() + static_cast<std::ptrdiff_t>(first_));
     first_ = 0;
   }
-  return ended;
+  return expired;
 }
 
-std::vector<Holder> Promises::holders(const KeyPrint& key) const {
+std::vector<Holder> Promises::holders(const KeyHash& key) const {
   const auto found = promises_.find(key);
   if (found == promises_.end()) return {};
   std::vector<Holder> all{found->second.holder};
@@ -101,7 +102,7 @@
   return all;
 }
 
-void Promises::each(const std::function<void(const KeyPrint&, const Holder&, Span at)>& visit) const {
+void Promises::forEach(const std::function<void(const KeyHash&, const Holder&, Span at)>& visit) const {
   for (const auto& [key, promise] : promises_) visit(key, promise.holder, promise.at);
   for (const auto& [key, further] : further_) {
     const Span at = promises_.at(key).at;
--- a/src/mesh/claims/promises.hpp
+++ b/src/mesh/claims/promises.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-// What one control process has promised: for each operation key the claims that hold it. A key has one holder
-// as long as this process only votes; reading the promises of other voters may add more, as a claim that lost
-// may have left its promise with some of them. The key is free once all of them are released or its time is
-// over. Promises own the table and know no disk and no sockets; nothing may be told of a promise before it is
-// on disk.
+// The promises of one control process: for each operation key, the claims that hold it. A key has one holder
+// as long as this process only votes. Promises read from other voters may add holders, because a losing claim
+// may have been promised the key by some of them. A key is free once all its holders have released it or the
+// promise has expired. Promises are kept in memory only; a promise must not be disclosed before it is on
+// disk.
 
 #include <cstddef>
 #include <functional>
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "mesh/claims/key_print.hpp"
+#include "mesh/claims/key_hash.hpp"
 #include "mesh/names.hpp"
 
 namespace rackroute::mesh {
@@ -20,44 +20,43 @@
 class Promises {
  public:
   struct Promise {
-    Holder holder;  // the first of them; the others are in holders()
-    Span at{};      // the latest at which one of them was promised
+    Holder holder;  // the first holder; holders() returns all
+    Span at{};      // time of the latest promise among the holders
   };
-  /// How long a promise is kept.
+  /// keep: how long a promise is valid.
   explicit Promises(Span keep) : keep_(keep) {}
 
-  /// Who holds the key after this claim: the claimer itself, if no other holder is left; else one of the
-  /// others.
-  const Holder& claim(Span now, const KeyPrint& key, const Holder& claim);
-  /// The holder never ran and never will; true if it held the key and no longer does. Others that hold it
-  /// stay.
-  bool giveBack(const KeyPrint& key, const Holder& holder);
-  /// What was promised earlier, by this process or by another whose promises are read; holders that are known
-  /// stay.
-  void learn(Span at, const KeyPrint& key, const Holder& holder);
-  /// Keys whose promises have ended, a bounded number a call; they are forgotten with all their holders.
-  std::vector<KeyPrint> expire(Span now);
-
-  [[nodiscard]] const std::unordered_map<KeyPrint, Promise, HashKeyPrint>& all() const { return promises_; }
-  /// All holders of one key; none, if it is free.
-  [[nodiscard]] std::vector<Holder> holders(const KeyPrint& key) const;
-  /// Each holder of each key, in no order.
-  void each(const std::function<void(const KeyPrint&, const Holder&, Span at)>& visit) const;
+  /// Promises the key to the claim if it is free. Returns the key's holder afterwards: the claim itself, if
+  /// it is the only holder, else one of the others.
+  const Holder& claim(Span now, const KeyHash& key, const Holder& claim);
+  /// Releases the key for a holder that has not run and will not run. True if it held the key. Other holders
+  /// are not affected.
+  bool release(const KeyHash& key, const Holder& holder);
+  /// Adds a promise that was made earlier by this process or by another voter.
+  void learn(Span at, const KeyHash& key, const Holder& holder);
+  /// Removes expired promises with all their holders, at most a fixed number per call. Returns their keys.
+  std::vector<KeyHash> expire(Span now);
+
+  [[nodiscard]] const std::unordered_map<KeyHash, Promise, KeyHashHasher>& all() const { return promises_; }
+  /// All holders of the key; empty if the key is free.
+  [[nodiscard]] std::vector<Holder> holders(const KeyHash& key) const;
+  /// Visits each holder of each key, in no particular order.
+  void forEach(const std::function<void(const KeyHash&, const Holder&, Span at)>& visit) const;
 
  private:
-  /// Holders beyond the first. Few keys have any, so that they take no room in the table of promises.
-  struct Further {
+  /// The holders beyond the first. Stored separately because few keys have any.
+  struct FurtherHolders {
     std::vector<Holder> holders;
-    bool overflowed = false;  // more were learned than are kept: the key is held until its time is over
+    bool overflowed = false;  // the limit was exceeded; the key stays promised until it expires
   };
-  using FurtherHolders = std::unordered_map<KeyPrint, Further, HashKeyPrint>;
-  void learnFurther(const KeyPrint& key, const Holder& holder);
+  using FurtherHoldersByKey = std::unordered_map<KeyHash, FurtherHolders, KeyHashHasher>;
+  void learnFurther(const KeyHash& key, const Holder& holder);
 
   Span keep_;
-  std::unordered_map<KeyPrint, Promise, HashKeyPrint> promises_;
-  FurtherHolders further_;
-  std::vector<std::pair<Span, KeyPrint>> order_;  // as promised; the first may have gone
-  std::size_t first_ = 0;
+  std::unordered_map<KeyHash, Promise, KeyHashHasher> promises_;
+  FurtherHoldersByKey further_;
+  std::vector<std::pair<Span, KeyHash>> order_;  // by time of promise; entries may be outdated
+  std::size_t first_ = 0;                        // first entry of order_ that has not expired
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/control_action.hpp
+++ b/src/mesh/control/control_action.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// What a control process wants done after an input: the only way in which its state machine reaches sockets,
-// the disk and operators.
+// The actions that a control process's state machine requests after an input: the only way in which it
+// reaches sockets, the disk and operators.
 
 #include <cstdint>
 #include <memory>
@@ -13,29 +13,29 @@
 
 namespace rackroute::mesh {
 
-using SessionNo = Id<struct SessionTag, std::uint64_t>;            // one session, whoever dialled it
-using OperatorCallNo = Id<struct OperatorCallTag, std::uint64_t>;  // one call of an operator
-using BatchNo = Id<struct BatchTag, std::uint64_t>;                // one write to disk
+using SessionNo = Id<struct SessionTag, std::uint64_t>;            // a session, inbound or outbound
+using OperatorCallNo = Id<struct OperatorCallTag, std::uint64_t>;  // a pending call of an operator
+using BatchNo = Id<struct BatchTag, std::uint64_t>;                // a write to disk
 
 struct ControlAction {
-  enum class Kind { say, dial, hangUp, write, answer };
-  Kind kind = Kind::say;
-  SessionNo session{};                        // say, hangUp
-  std::shared_ptr<const std::string> text{};  // say: one encoded message; shared by all that get the same
+  enum class Kind { send, dial, close, write, answer };
+  Kind kind = Kind::send;
+  SessionNo session{};                        // send, close
+  std::shared_ptr<const std::string> text{};  // send: an encoded message, shared by its recipients
   Address at{};                               // dial
-  BatchNo batch{};                            // write; told of its end by written()
+  BatchNo batch{};                            // write; its completion is reported by writeCompleted()
   std::vector<StoreEntry> entries{};          // write
   OperatorCallNo call{};                      // answer
   std::uint32_t status = 0;                   // answer
-  std::string body{};                         // answer; hangUp: what is to be logged, if anything
-  Span retryAfter{};                          // answer; 0: no advice
+  std::string body{};                         // answer; close: the reason to log, empty if there is none
+  Span retryAfter{};                          // answer; 0: none
 };
 using ControlActions = std::vector<ControlAction>;
 
 /// Appends an action that sends an encoded message.
 inline void sendText(SessionNo to, std::shared_ptr<const std::string> text, ControlActions& actions) {
   ControlAction action;
-  action.kind = ControlAction::Kind::say;
+  action.kind = ControlAction::Kind::send;
   action.session = to;
   action.text = std::move(text);
   actions.push_back(std::move(action));
--- a/src/mesh/control/control_identity.cpp
+++ b/src/mesh/control/control_identity.cpp
@@ -23,7 +23,7 @@
     identity.stateEpoch = {read.at("state_epoch").get<std::uint64_t>()};
     return identity;
   } catch (const json::exception& error) {
-    return failure("store", std::string("the identity can't be read: ") + error.what());
+    return failure("store", std::string("malformed identity record: ") + error.what());
   }
 }
 
--- a/src/mesh/control/control_identity.hpp
+++ b/src/mesh/control/control_identity.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Who this control process is, as its disk has it: the incarnation of the disk, whether it was there when the
-// system was founded, and whether what it must have read as a voter has been read. It decides nothing.
+// The identity of a control process as its disk records it: the incarnation of the disk, whether the process
+// is one of the system's founders, and whether its state as a voter is complete.
 
 #include <optional>
 #include <string>
@@ -14,18 +14,18 @@
 
 /// Sorts before all other keys, so that it is read first.
 inline constexpr const char* kIdentityKey = "!identity";
-/// The mark of the format before epochs, which stands on disks that had lost nothing.
-inline constexpr const char* kOldMarkKey = "c";
+/// Present in stores of the format without epochs whose state is complete.
+inline constexpr const char* kLegacyMarkKey = "c";
 
 struct ControlIdentity {
   Incarnation incarnation;
-  bool founder = false;     // may agree on the first set of voters
-  bool holdsState = false;  // nothing that it promised is lost, and it has read what it had to as a voter
-  Epoch stateEpoch;         // of the latest set for which it has
+  bool founder = false;     // may take part in agreeing on the first set of voters
+  bool holdsState = false;  // has lost none of its promises, and has read the state required of a voter
+  Epoch stateEpoch;         // the latest set of voters for which holdsState was true
 };
 
 StoreEntry entryOf(const ControlIdentity& identity);
-/// The error says what is wrong with the entry; the disk is then as good as lost.
+/// Parses a stored identity. On an error the disk must be treated as lost.
 Result<ControlIdentity> identityFrom(const std::string& value);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/control_node.cpp
+++ b/src/mesh/control/control_node.cpp
@@ -11,22 +11,22 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr Span kTick = 100ms;              // the finest step of all times below
-constexpr Span kControlHeartbeat = 300ms;  // to control processes; a few fit into the lease of contact
-constexpr Span kSidecarHeartbeat = 500ms;
-constexpr Span kSweep = 1s;          // between sweeps over ended promises and silent members
-constexpr Span kPromiseSpare = 15s;  // beyond the keys' window, for late starts
+constexpr Span kTickInterval = 100ms;              // the resolution of all times below
+constexpr Span kControlHeartbeatInterval = 300ms;  // several fit into the lease of majority contact
+constexpr Span kSidecarHeartbeatInterval = 500ms;
+constexpr Span kSweepInterval = 1s;   // for expired promises and members
+constexpr Span kPromiseMargin = 15s;  // beyond the keys' window, for requests that start late
 
 }  // namespace
 
-Span ControlNode::tickEvery() { return kTick; }
+Span ControlNode::tickInterval() { return kTickInterval; }
 
-ControlNode::ControlNode(Built built)
-    : built_(std::move(built)),
-      self_{built_.at, freshIncarnation(0)},
-      keys_(built_.keyWindow + kPromiseSpare),
-      membership_({self_, false, built_.founders}),
-      agreement_({self_, built_.random, &items_,
+ControlNode::ControlNode(Options options)
+    : options_(std::move(options)),
+      self_{options_.at, freshIncarnation(0)},
+      keys_(options_.keyWindow + kPromiseMargin),
+      membership_({self_, false, options_.founders}),
+      agreement_({self_, options_.random, &items_,
                   [this](const VoterSet& set, bool mayBeDecided) {
                     return membership_.acceptable(now_, set, mayBeDecided);
                   },
@@ -34,12 +34,12 @@
       reads_(items_, agreement_),
       recovery_(self_),
       operators_(items_, agreement_, reads_),
-      sessions_(built_.at, built_.seeds) {}
+      sessions_(options_.at, options_.seeds) {}
 
 Incarnation ControlNode::freshIncarnation(std::uint64_t round) const {
-  const std::string seed = built_.at.value + '/' + std::to_string(built_.life.value) + '/' +
-                           std::to_string(built_.random) + '/' + std::to_string(round);
-  return {XXH3_64bits(seed.data(), seed.size()) | 1U};  // never 0
+  const std::string seed = options_.at.value + '/' + std::to_string(options_.life.value) + '/' +
+                           std::to_string(options_.random) + '/' + std::to_string(round);
+  return {XXH3_64bits(seed.data(), seed.size()) | 1U};  // 0 is not a valid incarnation
 }
 
 // --- start
@@ -55,35 +55,35 @@
     identityRead_ = true;
     return boost::outcome_v2::success();
   }
-  if (key == kOldMarkKey) {
-    oldMark_ = true;
+  if (key == kLegacyMarkKey) {
+    legacyMark_ = true;
     return boost::outcome_v2::success();
   }
-  if (key.starts_with(kDepartureKey)) {
-    const json news = json::parse(value, nullptr, false);
+  if (key.starts_with(kDepartureKeyPrefix)) {
+    const json status = json::parse(value, nullptr, false);
     try {
-      news_.restore(newsFrom(news).served);
+      registry_.restore(serverStatusFrom(status).served);
     } catch (const json::exception& error) {
-      return failure("store", "record " + key + " can't be read: " + error.what());
+      return failure("store", "malformed record " + key + ": " + error.what());
     }
     return boost::outcome_v2::success();
   }
-  if (key.rfind(kItemKey, 0) == 0) {
+  if (key.rfind(kItemKeyPrefix, 0) == 0) {
     const json item = json::parse(value, nullptr, false);
     try {
       items_.merge(itemFrom(item));
     } catch (const json::exception& error) {
       stateLost_ = true;
-      return failure("store", "item " + key + " can't be read: " + error.what());
+      return failure("store", "malformed item " + key + ": " + error.what());
     }
     return boost::outcome_v2::success();
   }
-  // Guards against a process that ends at each start at a record which can't be read.
+  // A malformed record must not prevent every further start of the process.
   try {
     if (agreement_.restore(key, value)) return boost::outcome_v2::success();
   } catch (const std::exception& error) {
     stateLost_ = true;
-    return failure("store", "record " + key + " can't be read: " + error.what());
+    return failure("store", "malformed record " + key + ": " + error.what());
   }
   const Result<bool> read = keys_.restore(key, value);
   if (!read) {
@@ -99,11 +99,11 @@
   keys_.resume(now);
   Effects effects;
   if (stateLost_ || !identityRead_) {
-    // Guards against a disk that was lost, or lost a part: what it promised may be gone, so it is another
+    // The disk was lost or is damaged, and promises may be missing, so the process takes a new identity as a
     // voter.
-    const bool sound = !stateLost_ && (built_.firstBoot || oldMark_);
-    identity_ = {self_.incarnation, sound, sound, {}};
-    if (!sound) {
+    const bool complete = !stateLost_ && (options_.firstBoot || legacyMark_);
+    identity_ = {self_.incarnation, complete, complete, {}};
+    if (!complete) {
       keys_.clear(effects.entries);
       agreement_.reset(self_, effects);
     }
@@ -112,7 +112,7 @@
   self_.incarnation = identity_.incarnation;
   agreement_.identify(self_);
   recovery_.reincarnate(self_);
-  membership_ = Membership({self_, identity_.founder, built_.founders});
+  membership_ = Membership({self_, identity_.founder, options_.founders});
   membership_.holdsState(identity_.holdsState);
   durableDigest_ = items_.digest();
   if (const Item* item = items_.find(itemOf(VoterSet{}).key)) {
@@ -123,26 +123,26 @@
   }
   apply(now, std::move(effects), actions);
   dial(now, actions);
-  conclude(now, actions);
+  finishInput(now, actions);
   return actions;
 }
 
 // --- sessions
 
-ControlActions ControlNode::came(Span now, SessionNo session) {
+ControlActions ControlNode::sessionAccepted(Span now, SessionNo session) {
   sessions_.accepted(now, session);
   return {};
 }
 
-ControlActions ControlNode::reached(Span now, SessionNo no, const Address& at) {
+ControlActions ControlNode::sessionEstablished(Span now, SessionNo no, const Address& at) {
   now_ = now;
   ControlActions actions;
-  if (const auto older = sessions_.reached(now, no, at)) hangUp(now, *older, actions);
+  if (const auto older = sessions_.dialSucceeded(now, no, at)) closeSession(now, *older, actions);
   Hello hello;
   hello.control = true;
-  hello.node = built_.node;
-  hello.life = built_.life;
-  hello.at = built_.at;
+  hello.node = options_.node;
+  hello.life = options_.life;
+  hello.at = options_.at;
   hello.incarnation = self_.incarnation;
   hello.founder = identity_.founder;
   hello.holdsState = identity_.holdsState;
@@ -150,54 +150,54 @@
   return actions;
 }
 
-ControlActions ControlNode::unreached(Span now, const Address& at) {
-  sessions_.unreached(now, at);
+ControlActions ControlNode::dialFailed(Span now, const Address& at) {
+  sessions_.dialFailed(now, at);
   return {};
 }
 
-ControlActions ControlNode::ended(Span now, SessionNo session) {
+ControlActions ControlNode::sessionClosed(Span now, SessionNo session) {
   now_ = now;
   ControlActions actions;
-  lose(now, session, actions);
-  conclude(now, actions);
+  removeSession(now, session, actions);
+  finishInput(now, actions);
   return actions;
 }
 
-void ControlNode::hangUp(Span now, SessionNo session, ControlActions& actions, std::string reason) {
+void ControlNode::closeSession(Span now, SessionNo session, ControlActions& actions, std::string reason) {
   ControlAction action;
-  action.kind = ControlAction::Kind::hangUp;
+  action.kind = ControlAction::Kind::close;
   action.session = session;
   action.body = std::move(reason);
   actions.push_back(std::move(action));
-  lose(now, session, actions);
+  removeSession(now, session, actions);
 }
 
-void ControlNode::lose(Span now, SessionNo no, ControlActions& actions) {
-  const auto session = sessions_.ended(now, no);
+void ControlNode::removeSession(Span now, SessionNo no, ControlActions& actions) {
+  const auto session = sessions_.remove(now, no);
   if (!session || !session->greeted) return;
   confirmed_.erase(std::remove_if(confirmed_.begin(), confirmed_.end(),
                                   [&](const ConfirmedRequest& request) { return request.session == no; }),
                    confirmed_.end());
-  ServerNews::Out out;
+  RegistryPublisher::Updates updates;
   if (!session->control) {
-    news_.sidecarLeft(now, no, session->node, out);
+    registry_.sidecarDisconnected(now, no, session->node, updates);
   } else if (session->dialled) {
     membership_.peerDown(now, session->at);
     contact_.forget(session->at);
     snapshots_.forget(session->at);
     foundersChanged(now, actions);
   } else {
-    news_.tellerLost(now, session->at, out);
+    registry_.reporterLost(now, session->at, updates);
   }
-  publish(std::move(out), actions);
+  publish(std::move(updates), actions);
 }
 
-void ControlNode::alive(Span now, SessionNo session) {
-  if (PeerSession* found = sessions_.find(session)) found->lastHeard = now;
+void ControlNode::dataReceived(Span now, SessionNo session) {
+  if (PeerSession* found = sessions_.find(session)) found->lastReceived = now;
 }
 
 void ControlNode::dial(Span now, ControlActions& actions) {
-  for (const Address& at : sessions_.dials(now)) {
+  for (const Address& at : sessions_.dueDials(now)) {
     ControlAction action;
     action.kind = ControlAction::Kind::dial;
     action.at = at;
@@ -206,7 +206,7 @@
 }
 
 Address ControlNode::addressOf(SessionNo session) const {
-  if (session == SessionNo{}) return built_.at;
+  if (session == SessionNo{}) return options_.at;
   const auto found = sessions_.all().find(session);
   return found == sessions_.all().end() ? Address{} : found->second.at;
 }
@@ -216,22 +216,22 @@
 ControlActions ControlNode::change(Span now, OperatorCallNo call, std::string_view body) {
   now_ = now;
   ControlActions actions;
-  settle(now, actions);
+  updateSettled(now, actions);
   Effects effects;
   operators_.change(now, call, body, settled_, membership_.set(), effects, actions);
   apply(now, std::move(effects), actions);
-  conclude(now, actions);
+  finishInput(now, actions);
   return actions;
 }
 
 ControlActions ControlNode::readBack(Span now, OperatorCallNo call) {
   now_ = now;
   ControlActions actions;
-  settle(now, actions);
+  updateSettled(now, actions);
   Effects effects;
   operators_.readBack(now, call, settled_, membership_.set(), effects, actions);
   apply(now, std::move(effects), actions);
-  conclude(now, actions);
+  finishInput(now, actions);
   return actions;
 }
 
@@ -243,12 +243,12 @@
   heartbeat.digest = durableDigest_;
   heartbeat.holdsState = identity_.holdsState;
   heartbeat.settled = settled_;
-  heartbeat.members = news_.members(now);
+  heartbeat.members = registry_.members(now);
   return heartbeat;
 }
 
 void ControlNode::heartbeatControls(Span now, ControlActions& actions) {
-  controlHeartbeatAt_ = now + kControlHeartbeat;
+  controlHeartbeatAt_ = now + kControlHeartbeatInterval;
   std::map<Address, std::uint64_t> echoes;
   for (const auto& [no, session] : sessions_.all()) {
     if (!session.control || !session.greeted) continue;
@@ -265,30 +265,30 @@
 }
 
 void ControlNode::heartbeatSidecars(Span now, ControlActions& actions) {
-  sidecarHeartbeatAt_ = now + kSidecarHeartbeat;
+  sidecarHeartbeatAt_ = now + kSidecarHeartbeatInterval;
   const auto text = std::make_shared<const std::string>(encode(status(now)));
   for (const SessionNo session : sessions_.sidecars()) sendText(session, text, actions);
 }
 
-void ControlNode::settle(Span now, ControlActions& actions) {
+void ControlNode::updateSettled(Span now, ControlActions& actions) {
   const VoterSet& set = membership_.set();
-  const bool inTouch = set.epoch.value != 0 && membership_.isVoter() && contact_.inTouch(now, set, self_);
-  if (!inTouch) contactRead_ = 0;
-  if (inTouch && contactRead_ == 0) {
+  const bool inContact = set.epoch.value != 0 && membership_.isVoter() && contact_.inTouch(now, set, self_);
+  if (!inContact) contactRead_ = 0;
+  if (inContact && contactRead_ == 0) {
     Effects effects;
     contactRead_ = reads_.join(now, set, effects);
     apply(now, std::move(effects), actions);
   }
-  inTouch_ = inTouch;
-  const bool settled = inTouch && identity_.holdsState && reads_.finished() >= contactRead_;
+  inContact_ = inContact;
+  const bool settled = inContact && identity_.holdsState && reads_.finished() >= contactRead_;
   if (settled == settled_) return;
   settled_ = settled;
-  // Sidecars choose their homes by it: they are told at once.
+  // Sidecars choose their control process by this state, so it is sent at once.
   heartbeatNow_ = true;
   if (!settled) operators_.tick(now, false, actions);
 }
 
-void ControlNode::conclude(Span now, ControlActions& actions) {
+void ControlNode::finishInput(Span now, ControlActions& actions) {
   do {
     while (!local_.empty()) {
       const Message message = std::move(local_.front());
@@ -300,25 +300,25 @@
     reads_.advance(now, effects);
     operators_.advance(now, effects, actions);
     apply(now, std::move(effects), actions);
-    settle(now, actions);
+    updateSettled(now, actions);
     finishRecovery(actions);
   } while (!local_.empty());
   answerConfirmed(actions);
-  if (std::exchange(votersChanged_, false)) tellVoters(actions);
+  if (std::exchange(votersChanged_, false)) sendVoters(actions);
   if (std::exchange(heartbeatNow_, false)) {
     heartbeatSidecars(now, actions);
     heartbeatControls(now, actions);
   }
-  if (std::exchange(greetAnew_, false)) {
+  if (std::exchange(reconnectControls_, false)) {
     std::vector<SessionNo> controls;
     for (const auto& [no, session] : sessions_.all()) {
       if (session.control) controls.push_back(no);
     }
-    for (const SessionNo no : controls) hangUp(now, no, actions);
+    for (const SessionNo no : controls) closeSession(now, no, actions);
   }
 }
 
-void ControlNode::tellVoters(ControlActions& actions) {
+void ControlNode::sendVoters(ControlActions& actions) {
   const auto text = std::make_shared<const std::string>(encode(VotersUpdate{membership_.set()}));
   for (const SessionNo session : sessions_.sidecars()) sendText(session, text, actions);
 }
@@ -326,9 +326,9 @@
 ControlActions ControlNode::tick(Span now) {
   now_ = now;
   ControlActions actions;
-  for (const SessionNo no : sessions_.silent(now)) hangUp(now, no, actions);
+  for (const SessionNo no : sessions_.timedOut(now)) closeSession(now, no, actions);
   dial(now, actions);
-  settle(now, actions);
+  updateSettled(now, actions);
   proposeSet(now, actions);
   Effects effects;
   agreement_.tick(now, effects);
@@ -340,14 +340,14 @@
   if (sidecarHeartbeatAt_ <= now) heartbeatSidecars(now, actions);
   if (auto batch = writes_.retry(now)) submit(std::move(*batch), actions);
   if (sweepAt_ <= now) {
-    sweepAt_ = now + kSweep;
+    sweepAt_ = now + kSweepInterval;
     std::vector<StoreEntry> entries;
-    for (const InstanceId& id : news_.sweep(now))
-      entries.emplace_back(kDepartureKey + id.value, std::nullopt);
+    for (const InstanceId& id : registry_.sweep(now))
+      entries.emplace_back(kDepartureKeyPrefix + id.value, std::nullopt);
     keys_.expire(now, entries);
     if (!entries.empty()) write(std::move(entries), {}, actions);
   }
-  conclude(now, actions);
+  finishInput(now, actions);
   return actions;
 }
 
--- a/src/mesh/control/control_node.hpp
+++ b/src/mesh/control/control_node.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
-// The control process: holds the configuration, the registry of servers and promises on keys, and brings news
-// to sidecars. It puts the parts together: sessions, membership, agreement, reads, recovery, votes on keys,
-// servers, operators' calls; it takes inputs and returns what to send, write and answer, with no I/O and no
-// clock.
+// The control process: holds the configuration, the registry of servers and the promises on operation keys,
+// and pushes changes to sidecars. Combines the components for sessions, membership, agreement, majority
+// reads, recovery, votes on keys, the registry and operators' calls. Takes inputs and returns what to send,
+// write and answer; performs no I/O and reads no clock.
 //
-// It must never acknowledge an order, nor push an item to a sidecar, before a majority of the voters has it
-// on disk; never vote while it may lack promises that it made or had to read; never answer an operator when
-// it is not in touch with a majority; and never tell of anything as held that is not on its disk.
+// Invariants: an order is not acknowledged, and an item is not pushed to a sidecar, before a majority of the
+// voters has it on disk. The process does not vote while it may lack promises that it made or had to read,
+// does not answer operators without contact with a majority, and reports as held only what is on its disk.
 
 #include <cstdint>
 #include <deque>
@@ -30,72 +30,77 @@
 #include "mesh/control/membership.hpp"
 #include "mesh/control/operator_calls.hpp"
 #include "mesh/control/peer_sessions.hpp"
-#include "mesh/control/server_news.hpp"
+#include "mesh/control/registry_publisher.hpp"
 #include "mesh/control/voter_recovery.hpp"
 
 namespace rackroute::mesh {
 
-/// The store's key of items.
-inline constexpr const char* kItemKey = "i/";
-/// The store's key of what servers said of their leaving.
-inline constexpr const char* kDepartureKey = "left/";
+/// Prefix of the store's keys of items.
+inline constexpr const char* kItemKeyPrefix = "i/";
+/// Prefix of the store's keys of servers that announced their departure.
+inline constexpr const char* kDepartureKeyPrefix = "left/";
 
 class ControlNode {
  public:
-  struct Built {
+  struct Options {
     NodeName node;
-    Address at;  // of the mesh's sessions here
+    Address at;  // of this process's session listener
     std::string zone;
     LifeNo life;
-    std::vector<Address> seeds;  // of the mesh's sessions
-    std::size_t founders = 1;    // control processes that the system's first start has
+    std::vector<Address> seeds;  // session addresses of control processes
+    std::size_t founders = 1;    // number of control processes at the system's first start
     bool firstBoot = false;
     Span keyWindow{};
-    std::uint64_t random = 0;  // drawn by whoever starts the process; for a fresh disk's incarnation
+    std::uint64_t random = 0;  // entropy for the incarnation of a fresh disk
   };
-  explicit ControlNode(Built built);
+  explicit ControlNode(Options options);
 
-  /// One entry of what the disk holds; to be called for each, before start(). An error: the entry can't be
-  /// read; the process goes on without what it promised, as if the disk was lost.
+  /// Restores one entry of the store; to be called for each entry before start(). An error: the entry is
+  /// unreadable. The process continues without its promises, as if the disk was lost.
   Result<void> restore(const std::string& key, const std::string& value);
   ControlActions start(Span now);
-  ControlActions came(Span now, SessionNo session);                        // somebody dialled
-  ControlActions reached(Span now, SessionNo session, const Address& at);  // a dial came up
-  ControlActions unreached(Span now, const Address& at);                   // it did not
-  ControlActions ended(Span now, SessionNo session);
-  /// A message that is refused ends its session, with the reason to be logged; nothing of it is taken.
-  ControlActions heard(Span now, SessionNo session, const nlohmann::json& text);
-  /// Bytes of a message that is not whole yet.
-  void alive(Span now, SessionNo session);
-  ControlActions written(Span now, BatchNo batch, bool done);
+  ControlActions sessionAccepted(Span now, SessionNo session);
+  /// A dial succeeded.
+  ControlActions sessionEstablished(Span now, SessionNo session, const Address& at);
+  ControlActions dialFailed(Span now, const Address& at);
+  ControlActions sessionClosed(Span now, SessionNo session);
+  /// Processes a message. A message that is refused has no effect and closes its session with a reason to
+  /// log.
+  ControlActions messageReceived(Span now, SessionNo session, const nlohmann::json& text);
+  /// Part of a message was received, which keeps the session from timing out.
+  void dataReceived(Span now, SessionNo session);
+  ControlActions writeCompleted(Span now, BatchNo batch, bool done);
   ControlActions change(Span now, OperatorCallNo call, std::string_view body);
   ControlActions readBack(Span now, OperatorCallNo call);
   ControlActions tick(Span now);
-  void seeds(const std::vector<Address>& seeds) { sessions_.seeds(seeds); }
-  [[nodiscard]] static Span tickEvery();
+  void setSeeds(const std::vector<Address>& seeds) { sessions_.setSeeds(seeds); }
+  [[nodiscard]] static Span tickInterval();
 
   [[nodiscard]] const Items& items() const { return items_; }
   [[nodiscard]] const KeyVoter& keys() const { return keys_; }
   [[nodiscard]] const Membership& membership() const { return membership_; }
-  /// It may vote: it lost nothing that it promised, and has read what it must.
+  /// Whether the state required of a voter is complete: no promise was lost, and recovery has finished.
   [[nodiscard]] bool holdsState() const { return identity_.holdsState; }
-  /// In touch with a majority, and has read from one since.
+  /// Whether the process is in contact with a majority and has read from one since.
   [[nodiscard]] bool settled() const { return settled_; }
 
  private:
-  struct Waiting {  // for a write
+  /// Work that continues once a write is on disk.
+  struct AfterWrite {
     std::vector<Envelope> envelopes;
     std::vector<std::pair<SessionNo, std::shared_ptr<const std::string>>> texts;
-    std::optional<std::uint64_t> digest;  // of the items that are on disk then
-    std::optional<Epoch> recovered;       // the state that was read for that set is on disk then
+    std::optional<std::uint64_t> digest;  // of the items that are on disk after the write
+    std::optional<Epoch> recovered;       // the set for which the write completes recovery
   };
-  struct WaitingRead {  // of a reader that is answered once what was accepted here when it asked is decided
+  /// A read that is answered once the orders accepted here at its arrival are decided.
+  struct WaitingRead {
     Address from;
     ReadRequest request;
-    std::set<std::uint64_t> changes;  // orders with items, accepted and undecided then
+    std::set<std::uint64_t> changes;  // orders with items that were accepted and undecided at its arrival
     Span until{};
   };
-  struct ConfirmedRequest {  // of a sidecar that starts
+  /// A starting sidecar's request for items confirmed by a majority.
+  struct ConfirmedRequest {
     SessionNo session;
     nlohmann::json versions;
     std::uint64_t read = 0;
@@ -107,42 +112,43 @@
   void sendControls(const Message& message, ControlActions& actions);
   static Result<void> checkGreeting(const PeerSession& session, const Message& message);
   void dispatch(Span now, SessionNo from, const Message& message, ControlActions& actions);
-  void take(Span now, SessionNo from, const Hello& hello, ControlActions& actions);
-  void take(Span now, SessionNo from, const Welcome& welcome, ControlActions& actions);
-  void take(Span now, SessionNo from, const Heartbeat& heartbeat, ControlActions& actions);
-  void take(Span now, SessionNo from, const ControlAddresses& addresses, ControlActions& actions);
-  void take(Span now, SessionNo from, const VotersUpdate& update, ControlActions& actions);
-  void take(Span now, SessionNo from, const Prepare& prepare, ControlActions& actions);
-  void take(Span now, SessionNo from, const PrepareReply& reply, ControlActions& actions);
-  void take(Span now, SessionNo from, const Accept& accept, ControlActions& actions);
-  void take(Span now, SessionNo from, const AcceptReply& reply, ControlActions& actions);
-  void take(Span now, SessionNo from, const Decided& decided, ControlActions& actions);
-  void take(Span now, SessionNo from, const ItemsRequest& request, ControlActions& actions);
-  void take(Span now, SessionNo from, const ItemsReply& reply, ControlActions& actions);
-  void take(Span now, SessionNo from, const ReadRequest& request, ControlActions& actions);
-  void take(Span now, SessionNo from, const ReadReply& reply, ControlActions& actions);
-  void take(Span now, SessionNo from, const RegistryUpdate& update, ControlActions& actions);
-  void take(Span now, SessionNo from, const ServersUpdate& update, ControlActions& actions);
-  void take(Span now, SessionNo from, const Follow& follow, ControlActions& actions);
-  void take(Span now, SessionNo from, const ClaimRequest& request, ControlActions& actions);
-  void take(Span now, SessionNo from, const ReleaseRequest& request, ControlActions& actions);
-  void take(Span now, SessionNo from, const Votes& votes, ControlActions& actions);
-  void take(Span now, SessionNo from, const SnapshotRequest& request, ControlActions& actions);
-  void take(Span now, SessionNo from, const SnapshotPart& part, ControlActions& actions);
-
-  // --- what the parts want done
+  void handle(Span now, SessionNo from, const Hello& hello, ControlActions& actions);
+  void handle(Span now, SessionNo from, const Welcome& welcome, ControlActions& actions);
+  void handle(Span now, SessionNo from, const Heartbeat& heartbeat, ControlActions& actions);
+  void handle(Span now, SessionNo from, const ControlAddresses& addresses, ControlActions& actions);
+  void handle(Span now, SessionNo from, const VotersUpdate& update, ControlActions& actions);
+  void handle(Span now, SessionNo from, const Prepare& prepare, ControlActions& actions);
+  void handle(Span now, SessionNo from, const PrepareReply& reply, ControlActions& actions);
+  void handle(Span now, SessionNo from, const Accept& accept, ControlActions& actions);
+  void handle(Span now, SessionNo from, const AcceptReply& reply, ControlActions& actions);
+  void handle(Span now, SessionNo from, const Decided& decided, ControlActions& actions);
+  void handle(Span now, SessionNo from, const ItemsRequest& request, ControlActions& actions);
+  void handle(Span now, SessionNo from, const ItemsReply& reply, ControlActions& actions);
+  void handle(Span now, SessionNo from, const ReadRequest& request, ControlActions& actions);
+  void handle(Span now, SessionNo from, const ReadReply& reply, ControlActions& actions);
+  void handle(Span now, SessionNo from, const RegistryUpdate& update, ControlActions& actions);
+  void handle(Span now, SessionNo from, const ServersUpdate& update, ControlActions& actions);
+  void handle(Span now, SessionNo from, const Follow& follow, ControlActions& actions);
+  void handle(Span now, SessionNo from, const ClaimRequest& request, ControlActions& actions);
+  void handle(Span now, SessionNo from, const ReleaseRequest& request, ControlActions& actions);
+  void handle(Span now, SessionNo from, const Votes& votes, ControlActions& actions);
+  void handle(Span now, SessionNo from, const SnapshotRequest& request, ControlActions& actions);
+  void handle(Span now, SessionNo from, const SnapshotPart& part, ControlActions& actions);
+
+  // --- effects of the components
   void apply(Span now, Effects effects, ControlActions& actions);
-  void write(std::vector<StoreEntry> entries, Waiting waiting, ControlActions& actions);
+  void write(std::vector<StoreEntry> entries, AfterWrite afterWrite, ControlActions& actions);
   static void submit(WriteBatch batch, ControlActions& actions);
-  void publish(ServerNews::Out out, ControlActions& actions);
-  /// Writes what these servers said of their leaving; `then` is sent to the session once it is on disk.
-  void recordDepartures(const std::vector<News>& servers, SessionNo session,
+  void publish(RegistryPublisher::Updates updates, ControlActions& actions);
+  /// Records the announced departures among these servers; `then` is sent to the session once they are on
+  /// disk.
+  void recordDepartures(const std::vector<ServerStatus>& servers, SessionNo session,
                         std::shared_ptr<const std::string> then, ControlActions& actions);
   void push(const std::vector<Item>& items, ControlActions& actions);
 
   // --- the configuration
   std::vector<Item> merge(const std::vector<Item>& items, std::vector<StoreEntry>& entries);
-  void takeItems(Span now, std::vector<Item> items, ControlActions& actions);
+  void applyItems(Span now, std::vector<Item> items, ControlActions& actions);
   void sendItems(SessionNo to, const nlohmann::json& versions, std::uint64_t read, bool confirmed,
                  ControlActions& actions);
   void requestItems(SessionNo from, ControlActions& actions);
@@ -152,36 +158,36 @@
   // --- voters
   void adopt(Span now, const VoterSet& set, Effects& effects);
   void reincarnate(Effects& effects);
-  void recovered(Epoch epoch);
+  void recoveryWritten(Epoch epoch);
   [[nodiscard]] Incarnation freshIncarnation(std::uint64_t round) const;
-  void tellVoters(ControlActions& actions);
+  void sendVoters(ControlActions& actions);
   void foundersChanged(Span now, ControlActions& actions);
   void proposeSet(Span now, ControlActions& actions);
   void finishRecovery(ControlActions& actions);
   void updateVoting();
   [[nodiscard]] bool mayVote() const;
-  [[nodiscard]] bool mayTellState() const;
+  [[nodiscard]] bool maySendSnapshot() const;
   bool sameEpoch(SessionNo from, Epoch epoch, ControlActions& actions);
   [[nodiscard]] Address addressOf(SessionNo session) const;
 
-  void hangUp(Span now, SessionNo session, ControlActions& actions, std::string reason = {});
-  void lose(Span now, SessionNo session, ControlActions& actions);
+  void closeSession(Span now, SessionNo session, ControlActions& actions, std::string reason = {});
+  void removeSession(Span now, SessionNo session, ControlActions& actions);
   void dial(Span now, ControlActions& actions);
   void heartbeatControls(Span now, ControlActions& actions);
   void heartbeatSidecars(Span now, ControlActions& actions);
-  void settle(Span now, ControlActions& actions);
-  /// What follows from an input: local messages, reads that are over, whether the process is settled.
-  void conclude(Span now, ControlActions& actions);
+  void updateSettled(Span now, ControlActions& actions);
+  /// Completes an input: delivers local messages, answers finished reads and updates the settled state.
+  void finishInput(Span now, ControlActions& actions);
   [[nodiscard]] Heartbeat status(Span now) const;
 
-  Built built_;
+  Options options_;
   VoterId self_;
   ControlIdentity identity_;
   bool identityRead_ = false;
-  bool oldMark_ = false;        // the store is of before epochs, and had lost nothing
-  bool stateLost_ = false;      // an entry of the store could not be read
-  bool heldBeforeSet_ = false;  // it held state in the epoch just before the one in force
-  bool greetAnew_ = false;      // another identity: the sessions with control processes begin anew
+  bool legacyMark_ = false;              // the store has the format without epochs, and its state is complete
+  bool stateLost_ = false;               // an entry of the store could not be read
+  bool heldStateInPreviousSet_ = false;  // its state was complete in the epoch before the current one
+  bool reconnectControls_ = false;       // the identity changed: sessions with control processes must restart
   Items items_;
   KeyVoter keys_;
   Membership membership_;
@@ -191,26 +197,27 @@
   VoterRecovery recovery_;
   SnapshotSender snapshots_;
   OperatorCalls operators_;
-  ServerNews news_;
+  RegistryPublisher registry_;
   PeerSessions sessions_;
-  DurableWrites<Waiting> writes_;
-  std::deque<Message> local_;  // to this process itself
+  DurableWrites<AfterWrite> writes_;
+  std::deque<Message> local_;  // messages to this process itself
   std::vector<ConfirmedRequest> confirmed_;
   std::vector<WaitingRead> waitingReads_;
-  std::uint64_t durableDigest_ = 0;                           // of the items on disk
-  std::vector<std::shared_ptr<const std::string>> allItems_;  // encoded, for those that start with nothing
+  std::uint64_t durableDigest_ = 0;  // of the items on disk
+  /// All items, encoded for sidecars that start without any.
+  std::vector<std::shared_ptr<const std::string>> allItems_;
   std::uint64_t allItemsDigest_ = 0;
   bool settled_ = false;
-  bool inTouch_ = false;
-  std::uint64_t contactRead_ = 0;  // the read that began when contact was regained
+  bool inContact_ = false;
+  std::uint64_t contactRead_ = 0;  // the read that began when contact with a majority was regained
   Span controlHeartbeatAt_{};
   Span sidecarHeartbeatAt_{};
   Span sweepAt_{};
-  bool votersChanged_ = false;      // sidecars are to be told
-  bool heartbeatNow_ = false;       // what heartbeats tell has changed
-  std::uint64_t incarnations_ = 0;  // taken in this life of the process
+  bool votersChanged_ = false;      // the new set is to be sent to sidecars
+  bool heartbeatNow_ = false;       // the contents of heartbeats have changed
+  std::uint64_t incarnations_ = 0;  // incarnations taken in this run of the process
   Span now_{};
-  std::optional<std::uint64_t> recording_{};  // the batch that has what recovery read
+  std::optional<std::uint64_t> recoveryBatch_{};  // the write of the state that recovery has read
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/control_node_messages.cpp
+++ b/src/mesh/control/control_node_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of a control node: what goes out, and what each that comes in does.
+// The control node's messages: sending, and the handling of each kind that is received.
 
 #include <algorithm>
 #include <utility>
@@ -11,8 +11,8 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr Span kOrdersInFlight = 350ms;  // that a read waits for the decision of orders accepted here
-constexpr Span kDiffers = 1000ms;        // with another digest than a peer's, before its items are fetched
+constexpr Span kReadWaitLimit = 350ms;         // for the decision of orders that were accepted here
+constexpr Span kDigestMismatchLimit = 1000ms;  // before the items of a peer with another digest are fetched
 
 }  // namespace
 
@@ -24,9 +24,9 @@
 
 void ControlNode::send(const Envelope& envelope, ControlActions& actions) {
   if (envelope.to) {
-    if (*envelope.to == built_.at) {
+    if (*envelope.to == options_.at) {
       local_.push_back(envelope.message);
-    } else if (const auto session = sessions_.to(*envelope.to)) {
+    } else if (const auto session = sessions_.sessionTo(*envelope.to)) {
       send(*session, envelope.message, actions);
     }
     return;
@@ -36,7 +36,7 @@
   for (const VoterId& voter : membership_.set().voters) {
     if (voter == self_) {
       local_.push_back(envelope.message);
-    } else if (const auto session = sessions_.to(voter.at)) {
+    } else if (const auto session = sessions_.sessionTo(voter.at)) {
       sendText(*session, text, actions);
     }
   }
@@ -47,20 +47,20 @@
   for (const SessionNo session : sessions_.controls()) sendText(session, text, actions);
 }
 
-ControlActions ControlNode::heard(Span now, SessionNo no, const json& text) {
+ControlActions ControlNode::messageReceived(Span now, SessionNo no, const json& text) {
   now_ = now;
   ControlActions actions;
   PeerSession* const session = sessions_.find(no);
   if (session == nullptr) return actions;
-  session->lastHeard = now;
+  session->lastReceived = now;
   Result<Message> message = decode(text);
-  Result<void> fits = message ? checkGreeting(*session, message.value()) : std::move(message).error();
-  if (fits) {
+  Result<void> accepted = message ? checkGreeting(*session, message.value()) : std::move(message).error();
+  if (accepted) {
     dispatch(now, no, message.value(), actions);
   } else {
-    hangUp(now, no, actions, fits.error().line());
+    closeSession(now, no, actions, accepted.error().line());
   }
-  conclude(now, actions);
+  finishInput(now, actions);
   return actions;
 }
 
@@ -71,24 +71,26 @@
   if (hello != nullptr) format = hello->format;
   if (welcome != nullptr) format = welcome->format;
   if (format != kMessageFormat)
-    return failure("session", "the peer's messages have format " + std::to_string(format), session.at.value);
-  const bool opens = session.dialled ? welcome != nullptr : hello != nullptr;
-  if (!session.greeted && !opens)
-    return failure("session", std::string(kindOf(message)) + " came before the greeting", session.at.value);
+    return failure("session", "unsupported message format " + std::to_string(format), session.at.value);
+  const bool isGreeting = session.dialled ? welcome != nullptr : hello != nullptr;
+  if (!session.greeted && !isGreeting)
+    return failure("session", std::string(kindOf(message)) + " received before the greeting",
+                   session.at.value);
   return boost::outcome_v2::success();
 }
 
 void ControlNode::dispatch(Span now, SessionNo from, const Message& message, ControlActions& actions) {
-  std::visit([&](const auto& typed) { take(now, from, typed, actions); }, message);
+  std::visit([&](const auto& typed) { handle(now, from, typed, actions); }, message);
 }
 
-void ControlNode::take(Span now, SessionNo no, const Hello& hello, ControlActions& actions) {
-  // Guards against two sessions of one member: messages of the older one that come late must not count.
+void ControlNode::handle(Span now, SessionNo no, const Hello& hello, ControlActions& actions) {
+  // A node has one inbound session: late messages of an older one must not take effect.
   std::vector<SessionNo> older;
-  for (const auto& [other, held] : sessions_.all()) {
-    if (other != no && held.greeted && !held.dialled && held.node == hello.node) older.push_back(other);
+  for (const auto& [other, existing] : sessions_.all()) {
+    if (other != no && existing.greeted && !existing.dialled && existing.node == hello.node)
+      older.push_back(other);
   }
-  for (const SessionNo other : older) hangUp(now, other, actions);
+  for (const SessionNo other : older) closeSession(now, other, actions);
   PeerSession* const session = sessions_.find(no);
   if (session == nullptr || session->dialled) return;
   session->greeted = true;
@@ -103,47 +105,50 @@
   welcome.self = self_;
   welcome.founder = identity_.founder;
   welcome.holdsState = identity_.holdsState;
-  welcome.zone = built_.zone;
-  welcome.controls = sessions_.known();
+  welcome.zone = options_.zone;
+  welcome.controls = sessions_.addresses();
   welcome.voters = membership_.set();
-  welcome.life = built_.life;
-  welcome.highestLife = hello.control ? LifeNo{} : news_.highestLife(hello.node);
+  welcome.life = options_.life;
+  welcome.highestLife = hello.control ? LifeNo{} : registry_.highestLife(hello.node);
   send(no, welcome, actions);
   Heartbeat heartbeat = status(now);
   send(no, heartbeat, actions);
   if (hello.control) {
-    if (sessions_.learn(now, {hello.at})) sendControls(ControlAddresses{sessions_.known()}, actions);
-    // Guards against a session with an earlier life, which ended without a word: until its silence is
-    // noticed, that process can't be replaced, nor does what it holds count.
-    if (const auto stale = sessions_.dialledToOtherLife(hello.at, hello.life)) hangUp(now, *stale, actions);
-    // It hears this process, so a dial back may go at once.
+    if (sessions_.addAddresses(now, {hello.at}))
+      sendControls(ControlAddresses{sessions_.addresses()}, actions);
+    // A session with an earlier run of the process may not have timed out yet. Until it is closed, the
+    // process cannot be replaced as a voter and its state is not considered.
+    if (const auto stale = sessions_.dialledToOtherLife(hello.at, hello.life))
+      closeSession(now, *stale, actions);
+    // The peer is reachable, so it is dialled at once.
     sessions_.dialSoon(hello.at);
     dial(now, actions);
     return;
   }
-  ServerNews::Out out;
-  news_.sidecarCame(now, hello.node, out);
-  publish(std::move(out), actions);
+  RegistryPublisher::Updates updates;
+  registry_.sidecarConnected(now, hello.node, updates);
+  publish(std::move(updates), actions);
 }
 
-void ControlNode::take(Span now, SessionNo no, const Welcome& welcome, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo no, const Welcome& welcome, ControlActions& actions) {
   PeerSession* const session = sessions_.find(no);
   if (session == nullptr || !session->dialled) return;
   session->greeted = true;
   session->peer = welcome.self;
   session->life = welcome.life;
-  if (sessions_.learn(now, welcome.controls)) sendControls(ControlAddresses{sessions_.known()}, actions);
+  if (sessions_.addAddresses(now, welcome.controls))
+    sendControls(ControlAddresses{sessions_.addresses()}, actions);
   membership_.peerUp(now, welcome.self, welcome.founder, welcome.holdsState);
   foundersChanged(now, actions);
-  if (welcome.voters.epoch > membership_.set().epoch) takeItems(now, {itemOf(welcome.voters)}, actions);
-  send(no, news_.all(), actions);
+  if (welcome.voters.epoch > membership_.set().epoch) applyItems(now, {itemOf(welcome.voters)}, actions);
+  send(no, registry_.localState(), actions);
   requestItems(no, actions);
   Effects effects;
   reads_.reached(now, effects);
   apply(now, std::move(effects), actions);
 }
 
-void ControlNode::take(Span now, SessionNo no, const Heartbeat& heartbeat, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo no, const Heartbeat& heartbeat, ControlActions& actions) {
   PeerSession* const session = sessions_.find(no);
   if (session == nullptr || !session->control) return;
   session->lastSequence = std::max(session->lastSequence, heartbeat.sequence);
@@ -158,78 +163,79 @@
     session->differsSince = Span::max();
   } else if (session->differsSince == Span::max()) {
     session->differsSince = now;
-  } else if (session->differsSince + kDiffers <= now) {
+  } else if (session->differsSince + kDigestMismatchLimit <= now) {
     session->differsSince = now;
     requestItems(no, actions);
   }
 }
 
-void ControlNode::take(Span now, SessionNo, const ControlAddresses& addresses, ControlActions& actions) {
-  if (!sessions_.learn(now, addresses.list)) return;
-  sendControls(ControlAddresses{sessions_.known()}, actions);
+void ControlNode::handle(Span now, SessionNo, const ControlAddresses& addresses, ControlActions& actions) {
+  if (!sessions_.addAddresses(now, addresses.list)) return;
+  sendControls(ControlAddresses{sessions_.addresses()}, actions);
   dial(now, actions);
 }
 
-void ControlNode::take(Span now, SessionNo from, const VotersUpdate& update, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const VotersUpdate& update, ControlActions& actions) {
   const PeerSession* const session = sessions_.find(from);
   if (session == nullptr || !session->control) return;
-  if (update.voters.epoch > membership_.set().epoch) takeItems(now, {itemOf(update.voters)}, actions);
+  if (update.voters.epoch > membership_.set().epoch) applyItems(now, {itemOf(update.voters)}, actions);
 }
 
 // --- agreement and reads
 
-void ControlNode::take(Span now, SessionNo from, const Prepare& prepare, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const Prepare& prepare, ControlActions& actions) {
   if (!sameEpoch(from, prepare.epoch, actions)) return;
   Effects effects;
   agreement_.heard(now, addressOf(from), prepare, effects);
   apply(now, std::move(effects), actions);
 }
 
-void ControlNode::take(Span now, SessionNo, const PrepareReply& reply, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo, const PrepareReply& reply, ControlActions& actions) {
   Effects effects;
   agreement_.heard(now, reply, effects);
   apply(now, std::move(effects), actions);
 }
 
-void ControlNode::take(Span now, SessionNo from, const Accept& accept, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const Accept& accept, ControlActions& actions) {
   if (!sameEpoch(from, accept.epoch, actions)) return;
   Effects effects;
   agreement_.heard(now, addressOf(from), accept, effects);
   apply(now, std::move(effects), actions);
 }
 
-void ControlNode::take(Span now, SessionNo, const AcceptReply& reply, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo, const AcceptReply& reply, ControlActions& actions) {
   Effects effects;
   agreement_.heard(now, reply, effects);
   apply(now, std::move(effects), actions);
 }
 
-void ControlNode::take(Span now, SessionNo from, const Decided& decided, ControlActions& actions) {
-  // Guards against an old version that is decided late and comes into force where the later one, acknowledged
-  // before, has not been heard of: the sender has both. The order is not taken in part either.
+void ControlNode::handle(Span now, SessionNo from, const Decided& decided, ControlActions& actions) {
+  // An older version may be decided after a later one was acknowledged. It must not come into force here
+  // while the later one is still missing, so all items are fetched from the sender, which has both. The order
+  // is not applied in part either.
   const bool lacksLater =
       std::any_of(decided.later.begin(), decided.later.end(), [this](const DecidedRegister& later) {
-        const Item* const held = items_.find(later.id.item);
-        return held == nullptr || held->generation < later.id.version;
+        const Item* const current = items_.find(later.id.item);
+        return current == nullptr || current->generation < later.id.version;
       });
   if (lacksLater) return requestItems(from, actions);
-  takeItems(now, decided.order->items, actions);
+  applyItems(now, decided.order->items, actions);
 }
 
-void ControlNode::take(Span now, SessionNo from, const ReadRequest& request, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const ReadRequest& request, ControlActions& actions) {
   if (!sameEpoch(from, request.epoch, actions) || !mayVote()) return;
   const Address reader = addressOf(from);
   waitingReads_.erase(std::remove_if(waitingReads_.begin(), waitingReads_.end(),
                                      [&](const WaitingRead& older) { return older.from == reader; }),
                       waitingReads_.end());
-  waitingReads_.push_back({reader, request, agreement_.acceptedChanges(), now + kOrdersInFlight});
+  waitingReads_.push_back({reader, request, agreement_.acceptedChanges(), now + kReadWaitLimit});
   answerReads(now, actions);
 }
 
-// Guards against readers that are told of an order in flight, with all its items, and complete it beside its
-// proposer: most are decided a moment later. Orders that are accepted after the reader asked were not decided
-// when its read began, and must not hold it up while changes keep coming; nor must sets of voters, which hold
-// nothing of the configuration.
+// A read waits briefly for orders in flight, because its reader would otherwise receive them with all their
+// items and complete them in competition with their proposer. Orders accepted after the read's arrival were
+// not decided when it began and must not delay it while changes keep coming. The same applies to voter sets,
+// which contain no configuration.
 void ControlNode::answerReads(Span now, ControlActions& actions) {
   for (auto at = waitingReads_.begin(); at != waitingReads_.end();) {
     std::vector<AcceptedOrder> undecided = agreement_.stillAccepted(at->changes);
@@ -243,19 +249,20 @@
     reply.voter = self_;
     reply.digest = items_.digest();
     reply.accepted = std::move(undecided);
-    const bool stillVotes = mayVote() && at->request.epoch == membership_.set().epoch;
-    if (stillVotes) send(Envelope{at->from, std::move(reply)}, actions);
+    const bool mayAnswer = mayVote() && at->request.epoch == membership_.set().epoch;
+    if (mayAnswer) send(Envelope{at->from, std::move(reply)}, actions);
     at = waitingReads_.erase(at);
   }
 }
 
-void ControlNode::take(Span now, SessionNo, const ReadReply& reply, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo, const ReadReply& reply, ControlActions& actions) {
   Effects effects;
   reads_.heard(now, reply, effects);
   apply(now, std::move(effects), actions);
 }
 
-// Whether a request of that epoch may be answered; whoever is behind is told of the newer set.
+// Whether a request of that epoch may be answered. If the epochs differ, the side that is behind receives the
+// newer set.
 bool ControlNode::sameEpoch(SessionNo from, Epoch epoch, ControlActions& actions) {
   const VoterSet& set = membership_.set();
   if (epoch == set.epoch) return true;
@@ -270,19 +277,19 @@
 
 // --- servers
 
-void ControlNode::take(Span now, SessionNo from, const RegistryUpdate& update, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const RegistryUpdate& update, ControlActions& actions) {
   const PeerSession* const session = sessions_.find(from);
   if (session == nullptr || !session->control) return;
-  ServerNews::Out out;
-  news_.told(now, session->at, update, out);
-  publish(std::move(out), actions);
+  RegistryPublisher::Updates updates;
+  registry_.registryReported(now, session->at, update, updates);
+  publish(std::move(updates), actions);
   recordDepartures(update.servers, {}, nullptr, actions);
 }
 
-void ControlNode::take(Span, SessionNo from, const ServersUpdate& update, ControlActions& actions) {
-  ServerNews::Out out;
-  news_.told(update, out);
-  publish(std::move(out), actions);
+void ControlNode::handle(Span, SessionNo from, const ServersUpdate& update, ControlActions& actions) {
+  RegistryPublisher::Updates updates;
+  registry_.serversReported(update, updates);
+  publish(std::move(updates), actions);
   std::shared_ptr<const std::string> recorded;
   if (update.record != 0) {
     ServersUpdate answer;
@@ -292,39 +299,40 @@
   recordDepartures(update.servers, from, std::move(recorded), actions);
 }
 
-void ControlNode::recordDepartures(const std::vector<News>& servers, SessionNo session,
+void ControlNode::recordDepartures(const std::vector<ServerStatus>& servers, SessionNo session,
                                    std::shared_ptr<const std::string> then, ControlActions& actions) {
   std::vector<StoreEntry> entries;
-  for (const News& news : servers) {
-    if (!news.served.draining && !news.served.gone) continue;
-    entries.emplace_back(kDepartureKey + news.served.id.value, toJson(news).dump());
+  for (const ServerStatus& status : servers) {
+    if (!status.served.draining && !status.served.gone) continue;
+    entries.emplace_back(kDepartureKeyPrefix + status.served.id.value, toJson(status).dump());
   }
   if (entries.empty()) {
     if (then) sendText(session, std::move(then), actions);
     return;
   }
-  Waiting waiting;
-  if (then) waiting.texts.emplace_back(session, std::move(then));
-  write(std::move(entries), std::move(waiting), actions);
+  AfterWrite afterWrite;
+  if (then) afterWrite.texts.emplace_back(session, std::move(then));
+  write(std::move(entries), std::move(afterWrite), actions);
 }
 
-void ControlNode::take(Span, SessionNo from, const Follow& follow, ControlActions& actions) {
-  ServerNews::Out out;
-  news_.follow(from, follow, out);
-  publish(std::move(out), actions);
+void ControlNode::handle(Span, SessionNo from, const Follow& follow, ControlActions& actions) {
+  RegistryPublisher::Updates updates;
+  registry_.follow(from, follow, updates);
+  publish(std::move(updates), actions);
 }
 
-void ControlNode::publish(ServerNews::Out out, ControlActions& actions) {
-  for (const auto& [update, sessions] : out.followers) {
+void ControlNode::publish(RegistryPublisher::Updates updates, ControlActions& actions) {
+  for (const auto& [update, sessions] : updates.followers) {
     const auto text = std::make_shared<const std::string>(encode(update));
     for (const SessionNo session : sessions) sendText(session, text, actions);
   }
-  if (!out.controls.nodes.empty() || !out.controls.servers.empty()) sendControls(out.controls, actions);
+  if (!updates.controls.nodes.empty() || !updates.controls.servers.empty())
+    sendControls(updates.controls, actions);
 }
 
 // --- claims on keys
 
-void ControlNode::take(Span now, SessionNo from, const ClaimRequest& request, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const ClaimRequest& request, ControlActions& actions) {
   const PeerSession* const session = sessions_.find(from);
   if (session == nullptr || session->control) return;
   const LifeNo life = session->life;
@@ -337,12 +345,12 @@
   if (votes.votes.empty()) return;
   auto text = std::make_shared<const std::string>(encode(votes));
   if (entries.empty()) return sendText(from, std::move(text), actions);
-  Waiting waiting;
-  waiting.texts.emplace_back(from, std::move(text));
-  write(std::move(entries), std::move(waiting), actions);
+  AfterWrite afterWrite;
+  afterWrite.texts.emplace_back(from, std::move(text));
+  write(std::move(entries), std::move(afterWrite), actions);
 }
 
-void ControlNode::take(Span now, SessionNo from, const ReleaseRequest& request, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const ReleaseRequest& request, ControlActions& actions) {
   const PeerSession* const session = sessions_.find(from);
   if (session == nullptr || session->control) return;
   std::vector<StoreEntry> entries;
@@ -350,6 +358,6 @@
   if (!entries.empty()) write(std::move(entries), {}, actions);
 }
 
-void ControlNode::take(Span, SessionNo, const Votes&, ControlActions&) {}  // for sidecars only
+void ControlNode::handle(Span, SessionNo, const Votes&, ControlActions&) {}  // for sidecars only
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/control_node_state.cpp
+++ b/src/mesh/control/control_node_state.cpp
@@ -1,4 +1,4 @@
-// The state of a control node: the configuration, the set of voters, recovery, and how effects reach the
+// The control node's state: the configuration, the set of voters, recovery, and the writing of effects to
 // disk.
 
 #include <xxhash.h>
@@ -28,7 +28,7 @@
 
 // --- the configuration
 
-void ControlNode::take(Span now, SessionNo from, const ItemsRequest& request, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const ItemsRequest& request, ControlActions& actions) {
   const PeerSession* const session = sessions_.find(from);
   if (session == nullptr) return;
   if (!session->control && request.confirmed) {
@@ -41,14 +41,14 @@
     apply(now, std::move(effects), actions);
     return;
   }
-  // A sidecar gets nothing from a process that may know less than it once did.
+  // Sidecars are sent no items by a process that may have lost some.
   if (!identity_.holdsState && !session->control) return;
   sendItems(from, request.versions, request.read, false, actions);
 }
 
 void ControlNode::sendItems(SessionNo to, const json& versions, std::uint64_t read, bool confirmed,
                             ControlActions& actions) {
-  // Guards against dozens of processes that start at once: what all of them lack is encoded once.
+  // Many sidecars may start at once without any item; the reply to them is encoded once.
   const bool all = versions.empty() && read == 0 && confirmed;
   if (!all || allItems_.empty() || allItemsDigest_ != items_.digest()) {
     ItemsReply head;
@@ -83,15 +83,15 @@
   }
 }
 
-void ControlNode::take(Span now, SessionNo from, const ItemsReply& reply, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const ItemsReply& reply, ControlActions& actions) {
   const PeerSession* const session = sessions_.find(from);
   if (session == nullptr || !session->control) return;
   const Address peer = session->at;
-  takeItems(now, reply.items, actions);
+  applyItems(now, reply.items, actions);
   if (reply.read != 0 && reply.last()) reads_.fetched(peer, reply.read);
 }
 
-void ControlNode::takeItems(Span now, std::vector<Item> items, ControlActions& actions) {
+void ControlNode::applyItems(Span now, std::vector<Item> items, ControlActions& actions) {
   Effects effects;
   effects.decided = std::move(items);
   apply(now, std::move(effects), actions);
@@ -101,56 +101,57 @@
   std::vector<Item> newer;
   for (const Item& item : items) {
     if (!items_.merge(item)) continue;
-    const Item& held = *items_.find(item.key);
-    entries.emplace_back(kItemKey + textOf(held.key), wireOf(held));
-    newer.push_back(held);
+    const Item& merged = *items_.find(item.key);
+    entries.emplace_back(kItemKeyPrefix + textOf(merged.key), wireOf(merged));
+    newer.push_back(merged);
   }
   return newer;
 }
 
 void ControlNode::push(const std::vector<Item>& items, ControlActions& actions) {
   if (items.empty()) return;
-  // Encoded once: hundreds of routes for dozens of followers are megabytes otherwise.
+  // Encoded once for all followers, because a change may have hundreds of items.
   const auto texts = itemsReplies(ItemsReply{}, items);
   for (const SessionNo session : sessions_.sidecars()) {
-    if (!news_.follows(session)) continue;
+    if (!registry_.follows(session)) continue;
     for (const auto& text : texts) sendText(session, text, actions);
   }
 }
 
 // --- recovery
 
-void ControlNode::take(Span now, SessionNo from, const SnapshotRequest& request, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const SnapshotRequest& request, ControlActions& actions) {
   const PeerSession* const session = sessions_.find(from);
   if (session == nullptr || !session->control) return;
   const VoterSet& set = membership_.set();
   if (request.epoch > set.epoch) return requestItems(from, actions);
-  if (!mayTellState()) return;
+  if (!maySendSnapshot()) return;
   snapshots_.begin(session->at, set.epoch, self_, keys_.promises(), keys_.uptime(now), agreement_);
 }
 
-void ControlNode::take(Span now, SessionNo from, const SnapshotPart& part, ControlActions& actions) {
+void ControlNode::handle(Span now, SessionNo from, const SnapshotPart& part, ControlActions& actions) {
   Effects effects;
   const auto read = recovery_.heard(now, part, keys_.uptime(now), keys_.promises(), agreement_, effects);
-  if (!read) hangUp(now, from, actions, read.error().line());
+  if (!read) closeSession(now, from, actions, read.error().line());
   apply(now, std::move(effects), actions);
   finishRecovery(actions);
 }
 
-// All of it goes to disk before this process votes.
+// Writes the recovered state to disk; the process votes once that is complete.
 void ControlNode::finishRecovery(ControlActions& actions) {
-  if (!recovery_.complete() || recording_) return;
-  ControlIdentity whole = identity_;
-  whole.holdsState = true;
-  whole.stateEpoch = membership_.set().epoch;
+  if (!recovery_.complete() || recoveryBatch_) return;
+  ControlIdentity recovered = identity_;
+  recovered.holdsState = true;
+  recovered.stateEpoch = membership_.set().epoch;
   std::vector<StoreEntry> entries;
   keys_.recordAll(now_, entries);
-  for (const auto& [key, item] : items_.all()) entries.emplace_back(kItemKey + textOf(key), wireOf(item));
-  entries.push_back(entryOf(whole));
-  Waiting waiting;
-  waiting.recovered = whole.stateEpoch;
-  WriteBatch batch = writes_.begin(std::move(entries), std::move(waiting));
-  recording_ = batch.number;
+  for (const auto& [key, item] : items_.all())
+    entries.emplace_back(kItemKeyPrefix + textOf(key), wireOf(item));
+  entries.push_back(entryOf(recovered));
+  AfterWrite afterWrite;
+  afterWrite.recovered = recovered.stateEpoch;
+  WriteBatch batch = writes_.begin(std::move(entries), std::move(afterWrite));
+  recoveryBatch_ = batch.number;
   submit(std::move(batch), actions);
 }
 
@@ -161,11 +162,11 @@
   return membership_.isVoter() && identity_.holdsState;
 }
 
-// A voter that has to read again, as the set shrank, has lost nothing of what it held in the set before.
-bool ControlNode::mayTellState() const {
-  // Guards against a loss of power that takes back the set, and with it the fence that the snapshot tells of.
-  if (writes_.isPending(kItemKey + textOf(itemOf(VoterSet{}).key))) return false;
-  return membership_.isVoter() && (identity_.holdsState || heldBeforeSet_);
+// A voter that must read again because the set shrank still has the complete state of the previous set.
+bool ControlNode::maySendSnapshot() const {
+  // A power loss could revert a set that is not on disk yet, and with it the fence that the snapshot implies.
+  if (writes_.isPending(kItemKeyPrefix + textOf(itemOf(VoterSet{}).key))) return false;
+  return membership_.isVoter() && (identity_.holdsState || heldStateInPreviousSet_);
 }
 
 void ControlNode::updateVoting() {
@@ -182,22 +183,22 @@
 
 void ControlNode::adopt(Span now, const VoterSet& set, Effects& effects) {
   if (!membership_.adopt(now, set)) return;
-  sessions_.voters(set);
-  recording_.reset();
+  sessions_.setVoters(set);
+  recoveryBatch_.reset();
   snapshots_.clear();
-  const bool next = identity_.stateEpoch.value + 1 == set.epoch.value;
-  heldBeforeSet_ = next && (identity_.founder || identity_.stateEpoch.value > 0);
+  const bool consecutive = identity_.stateEpoch.value + 1 == set.epoch.value;
+  heldStateInPreviousSet_ = consecutive && (identity_.founder || identity_.stateEpoch.value > 0);
   if (membership_.votedOut()) {
     reincarnate(effects);
   } else if (set.contains(self_) && identity_.stateEpoch < set.epoch) {
-    // Guards also against a voter that was away while sets followed each other: it may lack what one of them
-    // had it read.
-    const bool skipped = !next;
+    // A voter that was away during several set changes may also lack state that one of them required it to
+    // read.
+    const bool skipped = !consecutive;
     identity_.holdsState = identity_.holdsState && !skipped && !set.mustRead(self_);
     if (identity_.holdsState) {
       identity_.stateEpoch = set.epoch;
     } else {
-      recovery_.begin(now, set, heldBeforeSet_);
+      recovery_.begin(now, set, heldStateInPreviousSet_);
     }
     effects.entries.push_back(entryOf(identity_));
   }
@@ -207,7 +208,7 @@
   votersChanged_ = true;
 }
 
-// It was voted out: nothing that it promised counts any more, and it may join again as another voter.
+// After being voted out the process drops its promises, which no longer count, and may join as a new voter.
 void ControlNode::reincarnate(Effects& effects) {
   self_.incarnation = freshIncarnation(++incarnations_);
   identity_ = {self_.incarnation, false, false, {}};
@@ -216,11 +217,11 @@
   recovery_.reincarnate(self_);
   membership_.reincarnate(self_);
   effects.entries.push_back(entryOf(identity_));
-  greetAnew_ = true;
+  reconnectControls_ = true;
 }
 
 void ControlNode::proposeSet(Span now, ControlActions& actions) {
-  if (membership_.set().epoch.value != 0 && (!inTouch_ || !mayVote())) return;
+  if (membership_.set().epoch.value != 0 && (!inContact_ || !mayVote())) return;
   const auto set = membership_.proposal(now);
   if (!set) return;
   Effects effects;
@@ -231,7 +232,7 @@
 // --- effects
 
 void ControlNode::apply(Span now, Effects effects, ControlActions& actions) {
-  Waiting waiting;
+  AfterWrite afterWrite;
   std::vector<Item> decided = std::exchange(effects.decided, {});
   while (!decided.empty()) {
     Effects more;
@@ -241,22 +242,22 @@
       if (item.key.kind == ItemKind::voters) adopt(now, voterSetFrom(item.value), more);
     }
     push(newer, actions);
-    if (!newer.empty()) waiting.digest = items_.digest();
+    if (!newer.empty()) afterWrite.digest = items_.digest();
     decided = std::exchange(more.decided, {});
     append(effects, std::move(more));
   }
   for (const Envelope& envelope : effects.messages) send(envelope, actions);
-  waiting.envelopes = std::move(effects.afterWrite);
+  afterWrite.envelopes = std::move(effects.afterWrite);
   if (effects.entries.empty()) {
-    for (const Envelope& envelope : waiting.envelopes) send(envelope, actions);
+    for (const Envelope& envelope : afterWrite.envelopes) send(envelope, actions);
   } else {
-    write(std::move(effects.entries), std::move(waiting), actions);
+    write(std::move(effects.entries), std::move(afterWrite), actions);
   }
-  for (const OrderOutcome& outcome : effects.outcomes) operators_.ended(outcome, actions);
+  for (const OrderOutcome& outcome : effects.outcomes) operators_.orderEnded(outcome, actions);
 }
 
-void ControlNode::write(std::vector<StoreEntry> entries, Waiting waiting, ControlActions& actions) {
-  submit(writes_.begin(std::move(entries), std::move(waiting)), actions);
+void ControlNode::write(std::vector<StoreEntry> entries, AfterWrite afterWrite, ControlActions& actions) {
+  submit(writes_.begin(std::move(entries), std::move(afterWrite)), actions);
 }
 
 void ControlNode::submit(WriteBatch batch, ControlActions& actions) {
@@ -267,26 +268,26 @@
   actions.push_back(std::move(action));
 }
 
-ControlActions ControlNode::written(Span now, BatchNo batch, bool done) {
+ControlActions ControlNode::writeCompleted(Span now, BatchNo batch, bool done) {
   now_ = now;
   ControlActions actions;
-  for (const Waiting& waiting : writes_.written(batch.value, done)) {
-    for (const Envelope& envelope : waiting.envelopes) send(envelope, actions);
-    for (const auto& [session, text] : waiting.texts) {
+  for (const AfterWrite& afterWrite : writes_.written(batch.value, done)) {
+    for (const Envelope& envelope : afterWrite.envelopes) send(envelope, actions);
+    for (const auto& [session, text] : afterWrite.texts) {
       if (sessions_.find(session) != nullptr) sendText(session, text, actions);
     }
-    // Guards against a digest that tells of items which only memory holds, as the disk refused them.
-    if (waiting.digest) durableDigest_ = *waiting.digest;
-    if (waiting.recovered) recovered(*waiting.recovered);
+    // The reported digest covers only items on disk, not those whose write failed.
+    if (afterWrite.digest) durableDigest_ = *afterWrite.digest;
+    if (afterWrite.recovered) recoveryWritten(*afterWrite.recovered);
   }
-  if (!done && recording_ == batch.value) recording_.reset();  // made anew with the next look
+  if (!done && recoveryBatch_ == batch.value) recoveryBatch_.reset();  // finishRecovery() writes it again
   if (writes_.clean()) durableDigest_ = items_.digest();
-  conclude(now, actions);
+  finishInput(now, actions);
   return actions;
 }
 
-void ControlNode::recovered(Epoch epoch) {
-  recording_.reset();
+void ControlNode::recoveryWritten(Epoch epoch) {
+  recoveryBatch_.reset();
   if (epoch != membership_.set().epoch || !recovery_.running()) return;
   recovery_.stop();
   identity_.holdsState = true;
--- a/src/mesh/control/effects.hpp
+++ b/src/mesh/control/effects.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// What a part of the control process wants done after an input: messages, entries for the disk, what came
-// into force, what became of orders. It decides nothing.
+// The effects that a component of the control process requests after an input: messages, entries for the
+// disk, items that came into force and outcomes of orders.
 
 #include <cstdint>
 #include <optional>
@@ -13,31 +13,31 @@
 
 namespace rackroute::mesh {
 
-/// A key of the store and its value; none: removed.
+/// A key of the store and its new value; none: the key is removed.
 using StoreEntry = std::pair<std::string, std::optional<std::string>>;
 
 struct Envelope {
-  /// The control process that it goes to; this process itself included. None: all voters of the set in force.
+  /// The receiving control process, possibly this process itself. None: all voters of the current set.
   std::optional<Address> to;
   Message message;
 };
 
 enum class OrderResult {
-  decided,   // in force, or was already
-  conflict,  // another value is decided for one of its registers; nothing of it is in force
-  busy,      // too many orders are under way here; nothing of it was begun
+  decided,   // in force, now or already before
+  conflict,  // another value is decided for one of its registers; no part of the order is in force
+  busy,      // too many orders are in flight here; the order was not started
 };
 struct OrderOutcome {
   std::uint64_t call = 0;
   OrderResult result = OrderResult::decided;
-  std::vector<Item> standing;  // conflict: what stands in its place
+  std::vector<Item> standing;  // conflict: the items in force instead
 };
 
 struct Effects {
-  std::vector<Envelope> messages;    // to be sent at once
-  std::vector<StoreEntry> entries;   // to be written, all of them in one batch
-  std::vector<Envelope> afterWrite;  // to be sent once the entries are on disk; never, if the write fails
-  std::vector<Item> decided;         // came into force; not known here before
+  std::vector<Envelope> messages;    // sent immediately
+  std::vector<StoreEntry> entries;   // written in one batch
+  std::vector<Envelope> afterWrite;  // sent once the entries are on disk; dropped if the write fails
+  std::vector<Item> decided;         // newly in force
   std::vector<OrderOutcome> outcomes;
 };
 
--- a/src/mesh/control/key_voter.cpp
+++ b/src/mesh/control/key_voter.cpp
@@ -5,7 +5,7 @@
 namespace rackroute::mesh {
 namespace {
 
-constexpr std::size_t kPromisesARecord = 500;  // of those that were read from other voters
+constexpr std::size_t kMaxPromisesPerRecord = 500;  // in recordAll()
 
 }  // namespace
 
@@ -24,12 +24,12 @@
   std::vector<PromiseJournal::Change> granted;
   for (const auto& [claim, key] : request.claims) {
     const Holder holder{request.at, life, claim};
-    const Holder& holds = promises_.claim(uptime(now), key, holder);
-    if (holds == holder) {
+    const Holder& current = promises_.claim(uptime(now), key, holder);
+    if (current == holder) {
       granted.push_back({key, holder, false});
       votes.push_back({claim, std::nullopt});
     } else {
-      votes.push_back({claim, holds});
+      votes.push_back({claim, current});
     }
   }
   if (!granted.empty()) entries.push_back(journal_.record(uptime(now), granted));
@@ -41,7 +41,7 @@
   std::vector<PromiseJournal::Change> released;
   for (const auto& [claim, key] : request.claims) {
     const Holder holder{request.at, life, claim};
-    if (promises_.giveBack(key, holder)) released.push_back({key, holder, true});
+    if (promises_.release(key, holder)) released.push_back({key, holder, true});
   }
   if (!released.empty()) entries.push_back(journal_.record(uptime(now), released));
 }
@@ -56,9 +56,9 @@
   const auto flush = [&] {
     if (!changes.empty()) entries.push_back(journal_.record(uptime(now), std::exchange(changes, {})));
   };
-  promises_.each([&](const KeyPrint& key, const Holder& holder, Span) {
+  promises_.forEach([&](const KeyHash& key, const Holder& holder, Span) {
     changes.push_back({key, holder, false});
-    if (changes.size() >= kPromisesARecord) flush();
+    if (changes.size() >= kMaxPromisesPerRecord) flush();
   });
   flush();
 }
--- a/src/mesh/control/key_voter.hpp
+++ b/src/mesh/control/key_voter.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// This process's votes on claims of operation keys: its promises, in memory and as records for the disk. It
-// owns both. It must never vote while it lacks promises that it made or had to read, nor in an epoch other
-// than its own; a vote is told only once the promise is on disk.
+// This process's votes on claims of operation keys: its promises in memory and their records for the disk. It
+// must not vote while it lacks promises that it made or had to read, nor in an epoch other than its own. A
+// vote may be sent only once the promise is on disk.
 
 #include <cstdint>
 #include <string>
@@ -18,23 +18,25 @@
  public:
   explicit KeyVoter(Span keep) : keep_(keep), promises_(keep) {}
 
-  /// One entry of the store. False: none of its own. An error: promises are lost.
+  /// Restores one entry of the store. False: the entry is not a record of promises. An error: promises are
+  /// lost.
   Result<bool> restore(const std::string& key, const std::string& value);
-  /// After all entries.
+  /// To be called once all entries are restored.
   void resume(Span now);
-  /// Time that this identity of the voter has run, over all lives of the process; what promises end by.
+  /// Accumulated running time of this voter incarnation over all process restarts; the clock by which
+  /// promises expire.
   [[nodiscard]] Span uptime(Span now) const { return uptimeAtStart_ + (now - startedAt_); }
 
-  /// Votes on the claims; entries: what must be on disk before they are told. Empty, if nothing new was
-  /// promised.
+  /// Votes on the claims. entries: records that must be on disk before the votes are sent; empty if nothing
+  /// was promised.
   std::vector<Vote> vote(Span now, const ClaimRequest& request, LifeNo life,
                          std::vector<StoreEntry>& entries);
   void release(Span now, const ReleaseRequest& request, LifeNo life, std::vector<StoreEntry>& entries);
-  /// Forgets promises that have ended, a bounded number a call.
+  /// Removes expired promises, at most a fixed number per call.
   void expire(Span now, std::vector<StoreEntry>& entries);
-  /// Records of all promises: after they were read from other voters.
+  /// Appends records of all promises, after they were read from other voters.
   void recordAll(Span now, std::vector<StoreEntry>& entries);
-  /// Another incarnation: all promises go.
+  /// Drops all promises, as the voter takes another incarnation.
   void clear(std::vector<StoreEntry>& entries);
 
   [[nodiscard]] Promises& promises() { return promises_; }
--- a/src/mesh/control/message_reader.hpp
+++ b/src/mesh/control/message_reader.hpp
@@ -107,9 +107,9 @@
     require(bytes.has_value(), "is no base64");
     to = *std::move(bytes);
   }
-  static void get(const json& from, KeyPrint& to) {
+  static void get(const json& from, KeyHash& to) {
     requireText(from);
-    const auto print = printFrom(from.get_ref<const std::string&>());
+    const auto print = keyHashFrom(from.get_ref<const std::string&>());
     require(print.has_value(), "is no print of a key");
     to = *print;
   }
@@ -148,7 +148,7 @@
     require(!items.empty(), "is an order of nothing");
     to = makeOrder(std::move(items));
   }
-  static void get(const json& from, News& to) {
+  static void get(const json& from, ServerStatus& to) {
     requireArray(from, kNewsFields);
     for (std::size_t text = 0; text < 5; ++text) requireText(from[text]);
     for (std::size_t number = 5; number < 7; ++number) {
@@ -160,7 +160,7 @@
     unsignedFrom(from[8], kMostNewsFlags);
     const std::int64_t coldLeft = signedFrom(from[9]);
     require(coldLeft >= -kLongestColdTime && coldLeft <= kLongestColdTime, "has too long a cold time");
-    to = newsFrom(from);
+    to = serverStatusFrom(from);
   }
   template <class Tag, class Value>
   static void get(const json& from, Id<Tag, Value>& to) {
--- a/src/mesh/control/message_writer.hpp
+++ b/src/mesh/control/message_writer.hpp
@@ -25,10 +25,10 @@
   /// Names that are no UTF-8 are written with replacements, as the other side could not read them.
   void put(const json& value) { text_ += value.dump(-1, ' ', false, json::error_handler_t::replace); }
   void put(const std::vector<std::uint8_t>& bytes) { text_ += '"' + toBase64(bytes) + '"'; }
-  void put(const KeyPrint& print) { text_ += '"' + textOf(print) + '"'; }
+  void put(const KeyHash& print) { text_ += '"' + textOf(print) + '"'; }
   void put(const ItemKey& key) { put(textOf(key)); }
   void put(const Item& item) { text_ += wireOf(item); }
-  void put(const News& news) { put(toJson(news)); }
+  void put(const ServerStatus& news) { put(toJson(news)); }
   void put(const OrderPtr& order) { put(order->items); }
   template <class Tag, class Value>
   void put(const Id<Tag, Value>& id) {
--- a/src/mesh/control/messages.cpp
+++ b/src/mesh/control/messages.cpp
@@ -29,7 +29,7 @@
 
 template <TellsOfServers T>
 T withReplacedNamed(T update) {
-  for (const News& news : update.servers) {
+  for (const ServerStatus& news : update.servers) {
     if (news.served.replaced) update.replaced.push_back(news.served.id);
   }
   return update;
@@ -37,7 +37,7 @@
 
 template <TellsOfServers T>
 void markReplaced(T& update) {
-  for (News& news : update.servers) {
+  for (ServerStatus& news : update.servers) {
     const auto& named = update.replaced;
     if (std::find(named.begin(), named.end(), news.served.id) == named.end()) continue;
     news.served.replaced = true;
--- a/src/mesh/control/messages.hpp
+++ b/src/mesh/control/messages.hpp
@@ -184,11 +184,11 @@
 struct RegistryUpdate {  // between control processes
   std::vector<std::pair<NodeName, bool>>
       nodes;  // sessions of the sender with sidecars, and whether they stand
-  std::vector<News> servers;
+  std::vector<ServerStatus> servers;
   std::vector<InstanceId> replaced = {};  // the codec's: those of `servers` that are
 };
 struct ServersUpdate {  // between a control process and a sidecar, both ways
-  std::vector<News> servers;
+  std::vector<ServerStatus> servers;
   std::vector<InstanceId> replaced = {};  // the codec's: those of `servers` that are
   /// Of a sidecar, not 0: the same number is to come back as `recorded` once what these servers said of their
   /// leaving is on disk. Earlier processes leave both out.
@@ -204,11 +204,11 @@
 struct ClaimRequest {
   Epoch epoch;  // in which the claimer counts; a voter of another one does not vote
   Address at;   // of the claimer
-  std::vector<std::pair<ClaimNo, KeyPrint>> claims;
+  std::vector<std::pair<ClaimNo, KeyHash>> claims;
 };
 struct ReleaseRequest {  // the claims never ran and never will
   Address at;
-  std::vector<std::pair<ClaimNo, KeyPrint>> claims;
+  std::vector<std::pair<ClaimNo, KeyHash>> claims;
 };
 struct Vote {
   ClaimNo claim;
--- a/src/mesh/control/operator_calls.cpp
+++ b/src/mesh/control/operator_calls.cpp
@@ -8,12 +8,11 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr Span kCallTime = 850ms;  // for a decision; its caller waits a second
-constexpr Span kItemTime = 3ms;    // more for each item; callers wait longer for large bodies
-constexpr Span kComeBack =
-    300ms;  // advice to an operator; contact is regained or another process has it by then
+constexpr Span kCallTimeout = 850ms;   // below the callers' timeout of one second
+constexpr Span kTimeoutPerItem = 3ms;  // in addition; callers wait longer for large bodies
+constexpr Span kRetryAfter = 300ms;    // by then contact is regained or another process has it
 
-std::string errorBody(const std::string& what) { return json{{"error", what}}.dump(); }
+std::string errorBody(const std::string& error) { return json{{"error", error}}.dump(); }
 
 }  // namespace
 
@@ -33,30 +32,31 @@
   Result<std::vector<Item>> read = readChange(body);
   if (!read) return answer(call, 400, errorBody(read.error().line()), actions);
   if (!settled)
-    return answer(call, 503, errorBody("change: not in touch with a majority"), actions, kComeBack);
-  Call& held = calls_[call];
-  held.order = makeOrder(std::move(read).value());
-  held.until = now + kCallTime + kItemTime * held.order->items.size();
-  // It may be only this copy that does not know the service yet.
-  if (unknownService(*held.order)) {
-    held.read = reads_.join(now, set, effects);
+    return answer(call, 503, errorBody("change: no contact with a majority of voters"), actions, kRetryAfter);
+  Call& pending = calls_[call];
+  pending.order = makeOrder(std::move(read).value());
+  pending.until = now + kCallTimeout + kTimeoutPerItem * pending.order->items.size();
+  // The service may be missing from this process's copy only, so a majority is read first.
+  if (unknownService(*pending.order)) {
+    pending.read = reads_.join(now, set, effects);
     return;
   }
-  propose(now, call, held, effects);
+  propose(now, call, pending, effects);
 }
 
 void OperatorCalls::readBack(Span now, OperatorCallNo call, bool settled, const VoterSet& set,
                              Effects& effects, ControlActions& actions) {
-  if (!settled) return answer(call, 503, errorBody("read: not in touch with a majority"), actions, kComeBack);
-  Call& held = calls_[call];
-  held.readsBack = true;
-  held.until = now + kCallTime;
-  held.read = reads_.join(now, set, effects);
+  if (!settled)
+    return answer(call, 503, errorBody("read: no contact with a majority of voters"), actions, kRetryAfter);
+  Call& pending = calls_[call];
+  pending.readsBack = true;
+  pending.until = now + kCallTimeout;
+  pending.read = reads_.join(now, set, effects);
 }
 
-void OperatorCalls::propose(Span now, OperatorCallNo call, Call& held, Effects& effects) {
-  held.read = 0;
-  agreement_.propose(now, call.value, held.order, effects);
+void OperatorCalls::propose(Span now, OperatorCallNo call, Call& pending, Effects& effects) {
+  pending.read = 0;
+  agreement_.propose(now, call.value, pending.order, effects);
 }
 
 std::optional<std::string> OperatorCalls::unknownService(const Order& order) const {
@@ -64,7 +64,7 @@
   return items_.unknownService(order.items);
 }
 
-void OperatorCalls::ended(const OrderOutcome& outcome, ControlActions& actions) {
+void OperatorCalls::orderEnded(const OrderOutcome& outcome, ControlActions& actions) {
   const OperatorCallNo call{outcome.call};
   if (calls_.erase(call) == 0) return;
   switch (outcome.result) {
@@ -73,34 +73,34 @@
     case OrderResult::conflict: {
       json standing = json::array();
       for (const Item& item : outcome.standing) standing.push_back(toJson(item));
-      const json body{{"error", "change: another value stands for a version of it"},
+      const json body{{"error", "change: another value is already decided for one of its versions"},
                       {"standing", std::move(standing)}};
       return answer(call, 409, body.dump(), actions);
     }
     case OrderResult::busy:
-      return answer(call, 503, errorBody("change: too many changes are under way"), actions, kComeBack);
+      return answer(call, 503, errorBody("change: too many changes in flight"), actions, kRetryAfter);
   }
 }
 
 void OperatorCalls::advance(Span now, Effects& effects, ControlActions& actions) {
   for (auto at = calls_.begin(); at != calls_.end();) {
-    Call& held = at->second;
+    Call& pending = at->second;
     const OperatorCallNo call = at->first;
-    if (held.read == 0 || held.read > reads_.finished()) {
+    if (pending.read == 0 || pending.read > reads_.finished()) {
       ++at;
       continue;
     }
-    if (held.readsBack) {
+    if (pending.readsBack) {
       answer(call, 200, items_.standing().dump(), actions);
       at = calls_.erase(at);
       continue;
     }
-    if (const auto unknown = unknownService(*held.order)) {
-      answer(call, 400, errorBody("change: a route names the unknown service " + *unknown), actions);
+    if (const auto unknown = unknownService(*pending.order)) {
+      answer(call, 400, errorBody("change: a route names an unknown service: " + *unknown), actions);
       at = calls_.erase(at);
       continue;
     }
-    propose(now, call, held, effects);
+    propose(now, call, pending, effects);
     ++at;
   }
 }
@@ -112,8 +112,9 @@
       ++at;
       continue;
     }
-    const char* const what = late ? "no majority answered in time" : "not in touch with a majority any more";
-    answer(at->first, 503, errorBody(what), actions, kComeBack);
+    const char* const error =
+        late ? "no majority of voters answered in time" : "lost contact with a majority of voters";
+    answer(at->first, 503, errorBody(error), actions, kRetryAfter);
     agreement_.forgetCall(at->first.value);
     at = calls_.erase(at);
   }
--- a/src/mesh/control/operator_calls.hpp
+++ b/src/mesh/control/operator_calls.hpp
@@ -1,16 +1,16 @@
 #pragma once
 
-// Calls of operators that have no answer yet: changes of the configuration and reads of it. It owns them; it
-// takes inputs and returns answers, with no I/O and no clock. It must never acknowledge an order before it is
-// decided, refuse one that is or may be, or answer anything from this process's own copy alone.
+// Pending calls of operators: changes of the configuration and reads of it. Takes inputs and returns answers;
+// performs no I/O and reads no clock. An order must not be acknowledged before it is decided, nor refused if
+// it is or may become decided, and no answer may rest on this process's copy of the configuration alone.
 //
 // | answer | when |
 // | --- | --- |
-// | 200 | the order is decided, or was before; a read: the items that a majority has confirmed |
-// | 400 | the change is wrong by itself, or names a service that a majority does not know |
-// | 409 | another value is decided for a version that it gives; what stands is in the body |
-// | 503 | this process is not in touch with a majority, or no majority answered in time: nothing is said of
-// the order |
+// | 200 | the order is decided, now or already before; a read: the items that a majority has confirmed |
+// | 400 | the change is invalid, or names a service that a majority does not know |
+// | 409 | another value is decided for a version that it gives; the body has the items in force |
+// | 503 | this process is not in contact with a majority, or no majority answered in time; the state of the
+// order is unknown |
 
 #include <cstdint>
 #include <map>
@@ -28,31 +28,32 @@
 
 class OperatorCalls {
  public:
-  /// All must outlive it.
+  /// The arguments must outlive this object.
   OperatorCalls(const Items& items, Agreement& agreement, MajorityRead& reads)
       : items_(items), agreement_(agreement), reads_(reads) {}
 
-  /// settled: this process is in touch with a majority and has read from one since.
+  /// settled: this process is in contact with a majority and has read from one since.
   void change(Span now, OperatorCallNo call, std::string_view body, bool settled, const VoterSet& set,
               Effects& effects, ControlActions& actions);
   void readBack(Span now, OperatorCallNo call, bool settled, const VoterSet& set, Effects& effects,
                 ControlActions& actions);
-  void ended(const OrderOutcome& outcome, ControlActions& actions);
-  /// Goes on with what waited for a read that is over.
+  /// Answers the call of an order whose outcome is known.
+  void orderEnded(const OrderOutcome& outcome, ControlActions& actions);
+  /// Continues the calls whose majority read has finished.
   void advance(Span now, Effects& effects, ControlActions& actions);
-  /// Gives up what waits too long, and all at once if the process is not settled any more.
+  /// Fails calls that are past their deadline, or all of them if the process is no longer settled.
   void tick(Span now, bool settled, ControlActions& actions);
 
  private:
   struct Call {
     bool readsBack = false;
     OrderPtr order;          // of a change
-    std::uint64_t read = 0;  // waits for it; 0: for the decision
+    std::uint64_t read = 0;  // the majority read that it waits for; 0: it waits for the order's decision
     Span until{};
   };
-  void propose(Span now, OperatorCallNo call, Call& held, Effects& effects);
-  /// The service that the change's routes name and nobody has, as far as this process knows. An order that
-  /// was taken is acknowledged again, whatever has become of the service since.
+  void propose(Span now, OperatorCallNo call, Call& pending, Effects& effects);
+  /// A service that the change's routes name and that is unknown to this process. None for an order that is
+  /// already decided: it is acknowledged again even if the service has been removed since.
   [[nodiscard]] std::optional<std::string> unknownService(const Order& order) const;
   static void answer(OperatorCallNo call, std::uint32_t status, std::string body, ControlActions& actions,
                      Span retryAfter = Span{});
--- a/src/mesh/control/peer_sessions.cpp
+++ b/src/mesh/control/peer_sessions.cpp
@@ -8,26 +8,26 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kSilent = 1700ms;    // without a message, a session is over; several heartbeats and a delay
-constexpr Span kRedial = 150ms;     // after a dial that failed or a session that ended
-constexpr Span kDialTime = 450ms;   // for a dial; a hung one is given up
-constexpr Span kForgetAfter = 30s;  // an address that neither the voters nor the seeds name, unreached
-constexpr std::size_t kMostOthers = 32;  // addresses beyond the voters and the seeds
+constexpr Span kSessionTimeout = 1700ms;  // several heartbeat intervals
+constexpr Span kRedialDelay = 150ms;      // after a failed dial or a closed session
+constexpr Span kDialTimeout = 450ms;
+constexpr Span kForgetAfter = 30s;              // for unreachable addresses of neither voters nor seeds
+constexpr std::size_t kMaxOtherAddresses = 32;  // besides the voters and the seeds
 
 }  // namespace
 
 PeerSessions::PeerSessions(Address self, const std::vector<Address>& seeds) : self_(std::move(self)) {
-  this->seeds(seeds);
+  setSeeds(seeds);
 }
 
-void PeerSessions::seeds(const std::vector<Address>& seeds) {
+void PeerSessions::setSeeds(const std::vector<Address>& seeds) {
   seeds_ = std::set<Address>(seeds.begin(), seeds.end());
   for (const Address& at : seeds_) {
     if (at != self_) known_.try_emplace(at);
   }
 }
 
-void PeerSessions::voters(const VoterSet& set) {
+void PeerSessions::setVoters(const VoterSet& set) {
   voters_.clear();
   for (const VoterId& voter : set.voters) voters_.insert(voter.at);
   for (const Address& at : voters_) {
@@ -39,21 +39,21 @@
   return seeds_.count(at) > 0 || voters_.count(at) > 0;
 }
 
-bool PeerSessions::learn(Span now, const std::vector<Address>& addresses) {
+bool PeerSessions::addAddresses(Span now, const std::vector<Address>& addresses) {
   auto others = static_cast<std::size_t>(std::count_if(
       known_.begin(), known_.end(), [this](const auto& entry) { return !permanent(entry.first); }));
-  bool more = false;
+  bool added = false;
   for (const Address& at : addresses) {
     if (at == self_ || known_.count(at) > 0) continue;
-    if (others >= kMostOthers) break;
+    if (others >= kMaxOtherAddresses) break;
     known_[at].unreachedSince = now;
     ++others;
-    more = true;
+    added = true;
   }
-  return more;
+  return added;
 }
 
-std::vector<Address> PeerSessions::known() const {
+std::vector<Address> PeerSessions::addresses() const {
   std::vector<Address> all{self_};
   for (const auto& [at, known] : known_) all.push_back(at);
   return all;
@@ -61,30 +61,30 @@
 
 PeerSession& PeerSessions::accepted(Span now, SessionNo no) {
   PeerSession& session = sessions_[no];
-  session.lastHeard = now;
+  session.lastReceived = now;
   return session;
 }
 
-std::optional<SessionNo> PeerSessions::reached(Span now, SessionNo no, const Address& at) {
+std::optional<SessionNo> PeerSessions::dialSucceeded(Span now, SessionNo no, const Address& at) {
   std::optional<SessionNo> older;
   if (const auto found = dialled_.find(at); found != dialled_.end()) older = found->second;
   PeerSession& session = sessions_[no];
   session.dialled = session.control = true;
   session.at = at;
-  session.lastHeard = now;
+  session.lastReceived = now;
   dialled_[at] = no;
   if (const auto known = known_.find(at); known != known_.end()) known->second.dialling = false;
   return older;
 }
 
-void PeerSessions::unreached(Span now, const Address& at) {
+void PeerSessions::dialFailed(Span now, const Address& at) {
   const auto found = known_.find(at);
   if (found == known_.end()) return;
   found->second.dialling = false;
-  found->second.nextDial = now + kRedial;
+  found->second.nextDial = now + kRedialDelay;
 }
 
-std::optional<PeerSession> PeerSessions::ended(Span now, SessionNo no) {
+std::optional<PeerSession> PeerSessions::remove(Span now, SessionNo no) {
   const auto found = sessions_.find(no);
   if (found == sessions_.end()) return std::nullopt;
   PeerSession session = std::move(found->second);
@@ -93,7 +93,7 @@
   const auto dialled = dialled_.find(session.at);
   if (dialled != dialled_.end() && dialled->second == no) dialled_.erase(dialled);
   if (const auto known = known_.find(session.at); known != known_.end()) {
-    known->second.nextDial = now + kRedial;
+    known->second.nextDial = now + kRedialDelay;
     known->second.unreachedSince = now;
   }
   return session;
@@ -101,7 +101,7 @@
 
 void PeerSessions::dialSoon(const Address& at) {
   const auto found = known_.find(at);
-  // Guards against a second dial beside one that is on its way: its session would end the first one's.
+  // Avoids a second dial while one is in progress: its session would replace the first one.
   if (found != known_.end() && !found->second.dialling) found->second.nextDial = Span{0};
 }
 
@@ -118,7 +118,7 @@
   return found == sessions_.end() ? nullptr : &found->second;
 }
 
-std::optional<SessionNo> PeerSessions::to(const Address& control) const {
+std::optional<SessionNo> PeerSessions::sessionTo(const Address& control) const {
   const auto dialled = dialled_.find(control);
   if (dialled != dialled_.end()) return dialled->second;
   for (const auto& [no, session] : sessions_) {
@@ -143,15 +143,15 @@
   return all;
 }
 
-std::vector<SessionNo> PeerSessions::silent(Span now) const {
+std::vector<SessionNo> PeerSessions::timedOut(Span now) const {
   std::vector<SessionNo> all;
   for (const auto& [no, session] : sessions_) {
-    if (session.lastHeard + kSilent <= now) all.push_back(no);
+    if (session.lastReceived + kSessionTimeout <= now) all.push_back(no);
   }
   return all;
 }
 
-std::vector<Address> PeerSessions::dials(Span now) {
+std::vector<Address> PeerSessions::dueDials(Span now) {
   std::vector<Address> due;
   for (auto at = known_.begin(); at != known_.end();) {
     const bool up = dialled_.count(at->first) > 0;
@@ -160,7 +160,7 @@
       continue;
     }
     if (!up && at->second.nextDial <= now) {
-      at->second.nextDial = now + kDialTime;
+      at->second.nextDial = now + kDialTimeout;
       at->second.dialling = true;
       due.push_back(at->first);
     }
--- a/src/mesh/control/peer_sessions.hpp
+++ b/src/mesh/control/peer_sessions.hpp
@@ -1,12 +1,11 @@
 #pragma once
 
-// The sessions of a control process: with the other control processes, each dialled from both sides, and with
-// sidecars, which dial. It owns them and the addresses of control processes that are known; it takes inputs
-// and returns what to dial and hang up, with no I/O and no clock.
+// The sessions of a control process and the known addresses of control processes. Every pair of control
+// processes has a session dialled from each side; sidecars dial and are not dialled. Takes inputs and returns
+// the addresses to dial and the sessions to close; performs no I/O and reads no clock.
 //
-// Bounds: addresses are those of the voters, the seeds and at most kMostOthers more; one that is in neither
-// and could not be reached for kForgetAfter is forgotten, so that replacements at new addresses never fill
-// the table.
+// The table of addresses is bounded: it has the voters, the seeds and at most kMaxOtherAddresses more. Of
+// these, one that is unreachable for kForgetAfter is removed.
 
 #include <cstdint>
 #include <map>
@@ -20,16 +19,16 @@
 namespace rackroute::mesh {
 
 struct PeerSession {
-  bool dialled = false;  // by this process, so with a control process
-  bool control = false;  // with a control process
-  bool greeted = false;  // Hello or Welcome came
+  bool dialled = false;  // by this process; the peer is then a control process
+  bool control = false;  // the peer is a control process
+  bool greeted = false;  // Hello or Welcome was received
   Address at;            // of a control process
   VoterId peer;          // of a control process, once greeted
-  NodeName node;         // once a Hello came
-  LifeNo life;           // once greeted; 0: an earlier process, which does not tell
-  Span lastHeard{};
+  NodeName node;         // once a Hello was received
+  LifeNo life;           // once greeted; 0: the peer runs an earlier version that does not send it
+  Span lastReceived{};
   std::uint64_t lastSequence = 0;  // of the peer's heartbeats
-  std::uint64_t digest = 0;        // of its items, as last told
+  std::uint64_t digest = 0;        // of the peer's items, from its last heartbeat
   Span differsSince = Span::max();
 };
 
@@ -37,43 +36,43 @@
  public:
   PeerSessions(Address self, const std::vector<Address>& seeds);
 
-  void seeds(const std::vector<Address>& seeds);
-  /// Addresses of voters are always known.
-  void voters(const VoterSet& set);
-  /// Told by another process. True: some are new.
-  bool learn(Span now, const std::vector<Address>& addresses);
-  [[nodiscard]] std::vector<Address> known() const;
+  void setSeeds(const std::vector<Address>& seeds);
+  void setVoters(const VoterSet& set);
+  /// Adds addresses reported by another process. True: some of them are new.
+  bool addAddresses(Span now, const std::vector<Address>& addresses);
+  /// All known addresses of control processes, with this process's own one first.
+  [[nodiscard]] std::vector<Address> addresses() const;
 
-  /// Somebody dialled.
+  /// An inbound session was opened.
   PeerSession& accepted(Span now, SessionNo no);
-  /// A dial came up; an older session with that address is returned, to be ended.
-  std::optional<SessionNo> reached(Span now, SessionNo no, const Address& at);
-  void unreached(Span now, const Address& at);
-  /// The session as it was; none: it is not known.
-  std::optional<PeerSession> ended(Span now, SessionNo no);
-  /// A control process has dialled here, so it can be dialled at once.
+  /// A dial succeeded. Returns an older session with that address, to be closed.
+  std::optional<SessionNo> dialSucceeded(Span now, SessionNo no, const Address& at);
+  void dialFailed(Span now, const Address& at);
+  /// Removes a closed session and returns it. None: it is unknown.
+  std::optional<PeerSession> remove(Span now, SessionNo no);
+  /// Makes a dial to the address due at once, because its control process has just connected here.
   void dialSoon(const Address& at);
 
   [[nodiscard]] PeerSession* find(SessionNo no);
   [[nodiscard]] std::map<SessionNo, PeerSession>& all() { return sessions_; }
   [[nodiscard]] const std::map<SessionNo, PeerSession>& all() const { return sessions_; }
-  /// The session that was dialled to that address, if it is known to be with another life of its process.
+  /// The session dialled to that address, if it is known to be with another run of its process.
   [[nodiscard]] std::optional<SessionNo> dialledToOtherLife(const Address& at, LifeNo life) const;
-  /// The session for messages to a control process: the one dialled here, else one that it dialled.
-  [[nodiscard]] std::optional<SessionNo> to(const Address& control) const;
-  /// Sessions with control processes that were dialled here and are greeted, one for each process.
+  /// The session for messages to a control process: the one dialled here, else one dialled by the peer.
+  [[nodiscard]] std::optional<SessionNo> sessionTo(const Address& control) const;
+  /// Greeted sessions with control processes that were dialled here, one for each process.
   [[nodiscard]] std::vector<SessionNo> controls() const;
   [[nodiscard]] std::vector<SessionNo> sidecars() const;
 
-  /// Sessions without a message for too long.
-  [[nodiscard]] std::vector<SessionNo> silent(Span now) const;
-  /// Dials that are due; also forgets addresses.
-  std::vector<Address> dials(Span now);
+  /// Sessions that have received nothing for the session timeout.
+  [[nodiscard]] std::vector<SessionNo> timedOut(Span now) const;
+  /// Returns the addresses that are due to be dialled; also removes expired addresses.
+  std::vector<Address> dueDials(Span now);
 
  private:
   struct Known {
     Span nextDial{};
-    bool dialling = false;  // a dial is on its way
+    bool dialling = false;  // a dial is in progress
     Span unreachedSince{};
   };
   [[nodiscard]] bool permanent(const Address& at) const;
--- a/src/mesh/registry/registry.hpp
+++ b/src/mesh/registry/registry.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Who is a member and which servers there are, as one control process knows it: from sessions that stand with
-// it and from what other control processes tell of theirs. It owns that knowledge and decides nothing else.
+// Membership and servers as one control process knows them, from its own sessions with sidecars and from the
+// reports of other control processes. Holds this state only; performs no I/O.
 
 #include <cstdint>
 #include <map>
@@ -15,36 +15,41 @@
 
 class Registry {
  public:
-  /// A member's session with this process stands, or no longer does. True if whether it is heard at all
-  /// changed.
-  bool heardHere(Span now, const NodeName& node, bool heard);
-  /// Another control process tells of one of its sessions.
-  bool heardThere(Span now, const Address& teller, const NodeName& node, bool heard);
-  /// That one is itself no longer heard: what it told of its sessions no longer counts.
-  std::vector<NodeName> forgetTeller(Span now, const Address& teller);
-  /// Takes what is new of it. Returns all servers of which something else is known now: that one, and those
-  /// that an earlier life of its sidecar told of. A machine has one server at a time, so they have ended.
-  std::vector<Served> told(const Served& served);
-  [[nodiscard]] bool heard(const NodeName& node) const;
-  [[nodiscard]] std::vector<NodeName> here() const;
-  /// Of all servers known on that node, the highest life of the process that told of them; 0: none is known.
+  /// Records whether the node's sidecar has a session with this process. True if the node's overall
+  /// connectedness changed.
+  bool setLocalSession(Span now, const NodeName& node, bool open);
+  /// Records whether the node's sidecar has a session with another control process, as that one reports.
+  bool setReportedSession(Span now, const Address& reporter, const NodeName& node, bool open);
+  /// Drops all sessions that this control process reported, after the connection to it was lost. Returns the
+  /// nodes that are no longer connected.
+  std::vector<NodeName> removeReporter(Span now, const Address& reporter);
+  /// Merges a server's record. Returns all servers whose records changed: this one, and those reported by an
+  /// earlier run of the same sidecar. A machine runs one server at a time, so these have ended.
+  std::vector<Served> update(const Served& served);
+  /// Whether the node's sidecar has a session with any control process.
+  [[nodiscard]] bool connected(const NodeName& node) const;
+  /// Nodes whose sidecars have a session with this process.
+  [[nodiscard]] std::vector<NodeName> localNodes() const;
+  /// The highest life number among the sidecars that reported the node's known servers; 0: none is known.
   [[nodiscard]] LifeNo highestLife(const NodeName& node) const;
-  [[nodiscard]] std::vector<News> of(const ServiceName& service) const;
-  [[nodiscard]] std::vector<News> on(const NodeName& node) const;
-  /// Members that are heard, or were a short while ago.
+  [[nodiscard]] std::vector<ServerStatus> serversOf(const ServiceName& service) const;
+  [[nodiscard]] std::vector<ServerStatus> serversOn(const NodeName& node) const;
+  /// Number of nodes that are connected or were until recently.
   [[nodiscard]] std::size_t members(Span now) const;
-  /// Forgets servers that leave or have ended, after a while, and members long silent. Returns those of them
-  /// that had said that they leave.
+  /// Removes servers that drain or have ended, and long-disconnected nodes, after their retention periods.
+  /// Returns the removed servers that had announced their departure.
   std::vector<InstanceId> sweep(Span now);
 
  private:
   struct Member {
-    bool here = false;
-    std::set<Address> tellers;
-    Span lastHeard{};
+    bool local = false;
+    std::set<Address> reporters;
+    Span lastChanged{};
   };
   void replaceEarlier(const Served& served, std::vector<Served>& changed);
-  [[nodiscard]] bool isHeard(const Member& member) const { return member.here || !member.tellers.empty(); }
+  [[nodiscard]] bool isConnected(const Member& member) const {
+    return member.local || !member.reporters.empty();
+  }
   std::map<NodeName, Member> members_;
   std::map<InstanceId, Served> servers_;
   std::map<InstanceId, Span> departedSince_;  // servers that drain, signed off or were replaced
--- a/src/mesh/registry/registry_messages.cpp
+++ b/src/mesh/registry/registry_messages.cpp
@@ -5,27 +5,29 @@
 
 using nlohmann::json;
 
-constexpr unsigned kDrains = 1;
+// Bits of the flags field.
+constexpr unsigned kDraining = 1;
 constexpr unsigned kGone = 2;
-constexpr unsigned kHeard = 4;
-constexpr unsigned kLeaves = 8;
+constexpr unsigned kConnected = 4;
+constexpr unsigned kLeaving = 8;
 
 }  // namespace
 
-json toJson(const News& news) {
-  const Served& served = news.served;
-  // Earlier processes know no difference; updates name those that were replaced in a field of its own.
+json toJson(const ServerStatus& status) {
+  const Served& served = status.served;
+  // Earlier versions do not distinguish replaced from gone; updates list replaced servers in a separate
+  // field.
   const bool ended = served.gone || served.replaced;
-  const unsigned flags = (served.draining ? kDrains : 0) | (ended ? kGone : 0) | (news.heard ? kHeard : 0) |
-                         (served.leaving ? kLeaves : 0);
+  const unsigned flags = (served.draining ? kDraining : 0) | (ended ? kGone : 0) |
+                         (status.connected ? kConnected : 0) | (served.leaving ? kLeaving : 0);
   return json::array({served.id.value, served.service.value, served.at.value, served.node.value, served.zone,
                       served.life.value, served.seq, served.capacity, flags,
                       served.coldLeft / std::chrono::milliseconds(1)});
 }
 
-News newsFrom(const json& from) {
-  News news;
-  Served& served = news.served;
+ServerStatus serverStatusFrom(const json& from) {
+  ServerStatus status;
+  Served& served = status.served;
   served.id = {from.at(0).get<std::string>()};
   served.service = {from.at(1).get<std::string>()};
   served.at = {from.at(2).get<std::string>()};
@@ -35,12 +37,12 @@
   served.seq = from.at(6).get<std::uint64_t>();
   served.capacity = from.at(7).get<std::uint32_t>();
   const auto flags = from.at(8).get<unsigned>();
-  served.draining = (flags & kDrains) != 0;
+  served.draining = (flags & kDraining) != 0;
   served.gone = (flags & kGone) != 0;
-  served.leaving = (flags & kLeaves) != 0;
-  news.heard = (flags & kHeard) != 0;
+  served.leaving = (flags & kLeaving) != 0;
+  status.connected = (flags & kConnected) != 0;
   served.coldLeft = std::chrono::milliseconds(from.at(9).get<std::int64_t>());
-  return news;
+  return status;
 }
 
 json toJson(const Holder& holder) {
--- a/src/mesh/registry/registry_messages.hpp
+++ b/src/mesh/registry/registry_messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The words of the mesh's own session that more than one part reads, as JSON. It decides nothing.
+// JSON encoding of the values that several kinds of mesh messages share.
 
 #include <nlohmann/json.hpp>
 
@@ -8,18 +8,19 @@
 
 namespace rackroute::mesh {
 
-/// What is told of a server, and whether its process's session stands.
-struct News {
+/// A server's record, and whether its sidecar has a session with the control plane.
+struct ServerStatus {
   Served served;
-  bool heard = true;
+  bool connected = true;
 };
 
-nlohmann::json toJson(const News& news);
-/// These throw nlohmann's exceptions for what no process of the mesh sends.
-News newsFrom(const nlohmann::json& from);
+nlohmann::json toJson(const ServerStatus& status);
+/// Throws nlohmann::json exceptions on malformed input.
+ServerStatus serverStatusFrom(const nlohmann::json& from);
 nlohmann::json toJson(const Holder& holder);
+/// Throws nlohmann::json exceptions on malformed input.
 Holder holderFrom(const nlohmann::json& from);
-/// ip:port of the mesh's own session on the machine of a control address.
+/// The ip:port of the mesh session listener on the machine of a control address.
 Address meshAddress(const Address& control, std::uint16_t port);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/routing/request_router.cpp
+++ b/src/mesh/routing/request_router.cpp
@@ -37,12 +37,12 @@
 
 void RequestRouter::processes(std::size_t count) {
   processes_ = std::max<std::size_t>(count, 1);
-  for (auto& [service, budget] : budgets_) budget.share(built_.allowance, processes_);
+  for (auto& [service, budget] : budgets_) budget.configure(built_.allowance, processes_);
 }
 
 RetryBudget& RequestRouter::budget(const ServiceName& service) {
   const auto [found, added] = budgets_.try_emplace(service);
-  if (added) found->second.share(built_.allowance, processes_);
+  if (added) found->second.configure(built_.allowance, processes_);
   return found->second;
 }
 
@@ -67,7 +67,7 @@
   call.service = route->targetAt(std::uniform_real_distribution<double>(0, 1)(chance_));
   if (route->kind == RouteKind::pure && route->mostServers > 1) call.hedgeAt = now + hedgeAfter(*route);
   call.route = std::move(route);
-  budget(call.service).request(now);
+  budget(call.service).onRequest(now);
   Call& kept = calls_.emplace(no, std::move(call)).first->second;
   if (!sendOn(now, no, kept, acts)) giveUp(now, no, kept, acts);
   return acts;
@@ -100,33 +100,33 @@
 // What a request's end says of the server.
 void RequestRouter::learn(Span now, const Try& tried, ForwardResult how, const ForwardReply& told,
                           std::uint32_t status) {
-  Ending ending = Ending::failed;
+  ServerOutcome ending = ServerOutcome::failed;
   switch (how == ForwardResult::told ? told.verdict : Verdict::unknown) {
     case Verdict::ran:
-      ending = status >= 500 && !told.repeated ? Ending::erred : Ending::served;
+      ending = status >= 500 && !told.repeated ? ServerOutcome::serverError : ServerOutcome::succeeded;
       break;
     case Verdict::turnedAway:
     case Verdict::full:
     case Verdict::held:
     case Verdict::atWork:
     case Verdict::neverCame:
-      ending = Ending::full;
+      ending = ServerOutcome::atCapacity;
       break;
     case Verdict::leaving:
-      ending = Ending::leaving;
+      ending = ServerOutcome::draining;
       break;
     case Verdict::strange:
-      ending = Ending::strange;
+      ending = ServerOutcome::unknownServer;
       break;
     case Verdict::voteless:
-      ending = Ending::voteless;
+      ending = ServerOutcome::noQuorum;
       break;
     case Verdict::unreachable:
     case Verdict::unknown:
-      ending = how == ForwardResult::told ? Ending::failed : Ending::wayFailed;
+      ending = how == ForwardResult::told ? ServerOutcome::failed : ServerOutcome::unreachable;
       break;
   }
-  pool_.ended(now, tried.instance, ending, told.load);
+  pool_.recordOutcome(now, tried.instance, ending, told.load);
 }
 
 // The answer of an operation lies with the process that holds its key, if that one still lives.
@@ -208,7 +208,7 @@
       if (pure && status >= 500) {
         call.lastBytes = bytes;
         if (!call.out.empty()) return acts;
-        if (call.reached < call.route->mostServers && budget(call.service).take(now) &&
+        if (call.reached < call.route->mostServers && budget(call.service).tryTake(now) &&
             sendOn(now, no, call, acts))
           return acts;
       }
@@ -240,7 +240,7 @@
       ++call.refusals;
       if (!call.out.empty()) return acts;
       if (call.reached < call.route->mostServers && call.refusals < kMostRefusals &&
-          budget(call.service).take(now) && sendOn(now, no, call, acts))
+          budget(call.service).tryTake(now) && sendOn(now, no, call, acts))
         return acts;
       break;
     case Verdict::held:
@@ -276,7 +276,7 @@
       if (how == ForwardResult::notSent) ++call.refusals;
       if (again && call.refusals < kMostRefusals &&
           call.reached < call.route->mostServers + (counted ? 0U : 1U) &&
-          (!counted || budget(call.service).take(now)) && sendOn(now, no, call, acts))
+          (!counted || budget(call.service).tryTake(now)) && sendOn(now, no, call, acts))
         return acts;
       break;
     }
@@ -292,7 +292,8 @@
   if (found == calls_.end() || found->second.route->kind == RouteKind::keyed) return acts;
   for (const auto& [sent, tried] : found->second.out) {
     // That its client left says nothing of the server's health.
-    if (tried.kind == Try::Kind::request) pool_.ended(now, tried.instance, Ending::full, std::nullopt);
+    if (tried.kind == Try::Kind::request)
+      pool_.recordOutcome(now, tried.instance, ServerOutcome::atCapacity, std::nullopt);
     acts.push_back({RoutingAction::Kind::cancel, no, sent});
   }
   calls_.erase(found);
@@ -308,7 +309,7 @@
   } else if (call.mayHaveRun) {
     answer(no, call.deadline <= now ? kTimeout : kFailed, Span{0}, acts);
   } else {
-    const bool known = pool_.standing(call.service) > 0;
+    const bool known = pool_.countUsable(call.service) > 0;
     Span wait = call.wait == Span::max() ? (known ? kLeastComeBack : kNoServers) : call.wait;
     wait = std::clamp(wait, kLeastComeBack, kMostComeBack);
     wait = std::max(wait, call.quorumBack);
@@ -335,7 +336,8 @@
     if (call.deadline <= now) {
       // What is still out may have run; nobody waits for it any more.
       for (const auto& [sent, tried] : call.out) {
-        if (tried.kind == Try::Kind::request) pool_.ended(now, tried.instance, Ending::failed, std::nullopt);
+        if (tried.kind == Try::Kind::request)
+          pool_.recordOutcome(now, tried.instance, ServerOutcome::failed, std::nullopt);
         if (tried.kind != Try::Kind::holder) call.mayHaveRun = true;
       }
       call.out.clear();
@@ -345,8 +347,8 @@
     call.hedgeAt = Span::max();
     // One more than the route allows must never be out: those out may all have reached their servers.
     const std::uint32_t may = call.reached + static_cast<std::uint32_t>(call.out.size());
-    if (may >= call.route->mostServers || pool_.standing(call.service) < 2) continue;
-    if (budget(call.service).take(now)) sendOn(now, no, call, acts);
+    if (may >= call.route->mostServers || pool_.countUsable(call.service) < 2) continue;
+    if (budget(call.service).tryTake(now)) sendOn(now, no, call, acts);
   }
   pool_.sweep(now);
   return acts;
--- a/src/mesh/routing/request_router.hpp
+++ b/src/mesh/routing/request_router.hpp
@@ -58,13 +58,13 @@
     NodeName node;
     std::string zone;
     ServiceName service;  // that runs on this machine
-    Allowance allowance;
+    RetryAllowance allowance;
     std::uint64_t seed = 0;
   };
   explicit RequestRouter(Built built);
 
   void configured(const Items& items) { table_.read(items); }
-  void told(Span now, const Served& server, bool heard) { pool_.told(now, server, heard); }
+  void told(Span now, const Served& server, bool heard) { pool_.update(now, server, heard); }
   /// How many data-plane processes share the allowance for further tries.
   void processes(std::size_t count);
   RoutingActions asked(Span now, CallNo no, const Asked& asked);
--- a/src/mesh/sidecar/control_client.cpp
+++ b/src/mesh/sidecar/control_client.cpp
@@ -302,7 +302,7 @@
     recorded.record = update.recorded;
     acts.push_back(std::move(recorded));
   }
-  for (const News& news : update.servers) {
+  for (const ServerStatus& news : update.servers) {
     ControlClientAction server = action(Kind::server);
     server.news = news;
     acts.push_back(std::move(server));
--- a/src/mesh/sidecar/control_client.hpp
+++ b/src/mesh/sidecar/control_client.hpp
@@ -44,7 +44,7 @@
   Address at{};  // say, dial, hangUp, refused, welcomed, recorded: the control process
   std::shared_ptr<const std::string> text{};  // say: one message; shared by all whom the same is sent to
   Error error{};                              // refused
-  News news{};                                // server
+  ServerStatus news{};                        // server
   std::uint64_t record = 0;                   // recorded: the number that was asked for
   VoterId voter{};                            // vote, voterReady
   Epoch epoch{};                              // vote: in which it was given
--- a/src/mesh/sidecar/sidecar.cpp
+++ b/src/mesh/sidecar/sidecar.cpp
@@ -95,7 +95,7 @@
         out.control.push_back(std::move(act));
         break;
       case ControlClientAction::Kind::server:
-        router_.told(now, act.news.served, act.news.heard);
+        router_.told(now, act.news.served, act.news.connected);
         take(now, admission_.adopt(now, act.news.served), out);
         break;
       case ControlClientAction::Kind::recorded: {
@@ -112,7 +112,7 @@
         }
         break;
       case ControlClientAction::Kind::voters:
-        claims.electorate(controlClient_.voters());
+        claims.setVoters(controlClient_.voters());
         for (const VoterId& voter : controlClient_.reachedVoters()) askForVotes(voter, out);
         break;
       case ControlClientAction::Kind::voterReady:
@@ -133,7 +133,7 @@
         break;
     }
   }
-  claims.reach(controlClient_.reachedVoters().size());
+  claims.setReachableVoters(controlClient_.reachedVoters().size());
 }
 
 void Sidecar::tellServers(const Address& control, SidecarActions& out) {
@@ -146,7 +146,7 @@
   ClaimRequest request;
   request.epoch = controlClient_.voters().epoch;
   request.at = built_.admission.at;
-  for (const Claims::Open& open : admission_.claims().without(voter))
+  for (const Claims::OpenClaim& open : admission_.claims().openWithoutVoteOf(voter))
     request.claims.emplace_back(open.no, open.key);
   if (!request.claims.empty()) append(controlClient_.sendTo(voter.at, request), out);
 }
--- a/src/mesh/storage/promise_journal.cpp
+++ b/src/mesh/storage/promise_journal.cpp
@@ -138,12 +138,12 @@
   return whole.bytes();
 }
 
-void writePrint(Writer& writer, const KeyPrint& print) {
+void writePrint(Writer& writer, const KeyHash& print) {
   writer.fixed(print.high);
   writer.fixed(print.low);
 }
 
-KeyPrint readPrint(Reader& reader) {
+KeyHash readPrint(Reader& reader) {
   const std::uint64_t high = reader.fixed();
   return {high, reader.fixed()};
 }
@@ -196,7 +196,7 @@
   return changes;
 }
 
-std::string oldKey(const KeyPrint& print) { return std::string(kOldEntry) + textOf(print); }
+std::string oldKey(const KeyHash& print) { return std::string(kOldEntry) + textOf(print); }
 
 /// Of an entry of the old format: [address, life, claim, time of day]. None: it is no such entry.
 std::optional<Holder> readOldHolder(const std::string& value) {
@@ -227,7 +227,7 @@
   if (!changes) return std::move(changes).error();
   for (const Change& change : changes.value()) {
     if (change.released) {
-      promises.giveBack(change.key, change.holder);
+      promises.release(change.key, change.holder);
       release(change);
     } else {
       promises.learn(uptime, change.key, change.holder);
@@ -240,7 +240,7 @@
 }
 
 Result<bool> PromiseJournal::restoreOldEntry(const std::string& key, const std::string& value) {
-  const auto print = printFrom(std::string_view(key).substr(kOldEntry.size()));
+  const auto print = keyHashFrom(std::string_view(key).substr(kOldEntry.size()));
   if (!print) return failure("promise journal", "an old entry's key is none");
   const auto holder = readOldHolder(value);
   if (!holder) return failure("promise journal", "an old entry is torn");
@@ -295,7 +295,7 @@
   for (const Record& record : records_)
     removals.emplace_back(recordKey(record.uptime, record.number), std::nullopt);
   for (const auto& [key, holder] : oldFormat_) removals.emplace_back(oldKey(key), std::nullopt);
-  for (const KeyPrint& key : oldReleased_) removals.emplace_back(oldKey(key), std::nullopt);
+  for (const KeyHash& key : oldReleased_) removals.emplace_back(oldKey(key), std::nullopt);
   records_.clear();
   oldFormat_.clear();
   oldReleased_.clear();
@@ -315,7 +315,7 @@
     entries = {};
     count = 0;
   };
-  promises.each([&](const KeyPrint& key, const Holder& holder, Span at) {
+  promises.forEach([&](const KeyHash& key, const Holder& holder, Span at) {
     const std::size_t next = kMostEntry + kMostNumber + holder.at.value.size() + sizeof(holder.life.value);
     if (kMostHead + claimers.bytes().size() + entries.bytes().size() + next > kMostPart) finishPart();
     // Rounded down, so that the reader keeps it no shorter.
@@ -332,7 +332,7 @@
 
 Result<void> readSnapshot(const std::vector<std::uint8_t>& part, Span uptime, Promises& promises) {
   struct Entry {
-    KeyPrint key;
+    KeyHash key;
     Holder holder;
     Span at{};
   };
--- a/src/mesh/storage/promise_journal.hpp
+++ b/src/mesh/storage/promise_journal.hpp
@@ -38,7 +38,7 @@
   Span resume(Promises& promises);
   /// The entry for one batch; promises and releases as they were made.
   struct Change {
-    KeyPrint key;
+    KeyHash key;
     Holder holder;
     bool released = false;
   };
@@ -57,9 +57,9 @@
   Result<bool> restoreOldEntry(const std::string& key, const std::string& value);
   void release(const Change& change);
 
-  std::deque<Record> records_;            // on disk, in their order
-  std::map<KeyPrint, Holder> oldFormat_;  // entries of the old format that are on disk and not released
-  std::vector<KeyPrint> oldReleased_;     // entries of the old format that are on disk and may go
+  std::deque<Record> records_;           // on disk, in their order
+  std::map<KeyHash, Holder> oldFormat_;  // entries of the old format that are on disk and not released
+  std::vector<KeyHash> oldReleased_;     // entries of the old format that are on disk and may go
   Span resumed_{};
   std::uint64_t lastNumber_ = 0;
 };
--- a/tests/abandoned_requests_test.cpp
+++ b/tests/abandoned_requests_test.cpp
@@ -33,7 +33,7 @@
     router.asked(0s, {no}, kAsked);
     router.abandoned(100ms, {no});
   }
-  CHECK(router.servers().ejected(1s, {"desk"}) == 0);
+  CHECK(router.servers().countEjected(1s, {"desk"}) == 0);
 }
 
 TEST_CASE("a server is told to stop what may be repeated, and what waits takes its place") {
