--- a/tests/control_cluster.hpp
+++ b/tests/control_cluster.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
-// A few real control nodes in virtual time, for directed tests: sessions between them that can be cut, disks
-// that can refuse, stall or be lost, and operators' calls with their answers. Nothing is drawn here.
+// A cluster of real control nodes in virtual time for directed tests: sessions between them that can be
+// disconnected, disks that can refuse writes, stall or be wiped, and operators' calls with their answers. The
+// cluster is deterministic.
 
 #include <deque>
 #include <functional>
@@ -33,30 +34,31 @@
 
   static std::string name(std::size_t number) { return "c" + std::to_string(number) + ":1"; }
 
-  /// Starts a process at that address on the disk that is there.
+  /// Starts a process at that address with the current contents of its disk.
   void start(const std::string& at, bool firstBoot = false) {
     Machine& machine = machines_[at];
-    machine.life = ++lives_;
+    machine.life = ++lastLife_;
     machine.syncing = 0;
     machine.waiting.clear();
-    ControlNode::Built built;
-    built.node = {at};
-    built.at = {at};
-    built.zone = "z";
-    built.life = {machine.life};
-    built.random = lives_;
-    built.seeds = seeds(firstBoot);
-    built.founders = founders_;
-    built.firstBoot = firstBoot;
-    built.keyWindow = 60s;
-    machine.node = std::make_unique<ControlNode>(std::move(built));
+    ControlNode::Options options;
+    options.node = {at};
+    options.at = {at};
+    options.zone = "z";
+    options.life = {machine.life};
+    options.random = lastLife_;
+    options.seeds = seeds(firstBoot);
+    options.founders = founders_;
+    options.firstBoot = firstBoot;
+    options.keyWindow = 60s;
+    machine.node = std::make_unique<ControlNode>(std::move(options));
     for (const auto& [key, value] : machine.disk) {
-      if (const auto read = machine.node->restore(key, value); !read) refused_.push_back(read.error().line());
+      if (const auto read = machine.node->restore(key, value); !read)
+        refusals_.push_back(read.error().line());
     }
-    act(at, machine.node->start(now_));
+    perform(at, machine.node->start(now_));
     tick(at, machine.life);
   }
-  /// The process ends; what it had not synced is lost.
+  /// Kills the process; writes that are not synced are lost.
   void kill(const std::string& at) {
     Machine& machine = machines_.at(at);
     machine.life = 0;
@@ -65,28 +67,30 @@
     for (const auto& [no, link] : links_) {
       if (link.from == at || link.to == at) ended.push_back(no);
     }
-    for (const std::uint64_t no : ended) endLink(no, at);
+    for (const std::uint64_t no : ended) closeLink(no, at);
   }
   void wipe(const std::string& at) { machines_.at(at).disk.clear(); }
-  void cut(const std::string& one, const std::string& other) {
-    cuts_.insert({one, other});
-    cuts_.insert({other, one});
+  /// Drops all messages between two processes; their session breaks after kBreakTimeout.
+  void disconnect(const std::string& one, const std::string& other) {
+    disconnected_.insert({one, other});
+    disconnected_.insert({other, one});
   }
-  void join(const std::string& one, const std::string& other) {
-    cuts_.erase({one, other});
-    cuts_.erase({other, one});
+  void reconnect(const std::string& one, const std::string& other) {
+    disconnected_.erase({one, other});
+    disconnected_.erase({other, one});
   }
-  void cutOff(const std::string& at, bool cutNow = true) {
+  /// Disconnects the process from all others, or reconnects it.
+  void isolate(const std::string& at, bool isolated = true) {
     for (const auto& [other, machine] : machines_) {
-      if (other != at) cutNow ? cut(at, other) : join(at, other);
+      if (other != at) isolated ? disconnect(at, other) : reconnect(at, other);
     }
   }
-  void refuseWrites(const std::string& at, bool refuses) { machines_.at(at).refuses = refuses; }
-  /// How long a sync of that disk takes, from the next one on.
-  void syncTime(const std::string& at, Span time) { machines_.at(at).syncTime = time; }
+  void refuseWrites(const std::string& at, bool refuses) { machines_.at(at).refusesWrites = refuses; }
+  /// Sets the duration of the disk's syncs, from the next one on.
+  void setSyncTime(const std::string& at, Span time) { machines_.at(at).syncTime = time; }
   std::map<std::string, std::string>& disk(const std::string& at) { return machines_.at(at).disk; }
   ControlNode& node(const std::string& at) { return *machines_.at(at).node; }
-  [[nodiscard]] bool up(const std::string& at) const { return machines_.at(at).life != 0; }
+  [[nodiscard]] bool running(const std::string& at) const { return machines_.at(at).life != 0; }
 
   void run(Span forSpan) {
     const Span until = now_ + forSpan;
@@ -100,15 +104,15 @@
   }
   [[nodiscard]] Span now() const { return now_; }
 
-  /// Numbers of calls; answers() tells of them.
+  /// These return the number of the call, for answer().
   std::uint64_t change(const std::string& at, const std::string& body) {
     const std::uint64_t call = ++calls_;
-    act(at, node(at).change(now_, {call}, body));
+    perform(at, node(at).change(now_, {call}, body));
     return call;
   }
   std::uint64_t readBack(const std::string& at) {
     const std::uint64_t call = ++calls_;
-    act(at, node(at).readBack(now_, {call}));
+    perform(at, node(at).readBack(now_, {call}));
     return call;
   }
   [[nodiscard]] std::optional<Answer> answer(std::uint64_t call) const {
@@ -116,45 +120,46 @@
     return found == answers_.end() ? std::nullopt : std::optional(found->second);
   }
 
-  /// A sidecar's session with that control process, played by the test: messages in and out.
-  std::uint64_t sidecar(const std::string& at, const std::string& sidecarName) {
+  /// Opens a session of a simulated sidecar with that control process.
+  std::uint64_t connectSidecar(const std::string& at, const std::string& sidecarName) {
     const std::uint64_t no = ++sessions_;
     links_[no] = {sidecarName, at};
-    act(at, node(at).came(now_, {no}));
+    perform(at, node(at).sessionAccepted(now_, {no}));
     Hello hello;
     hello.node = {sidecarName};
     hello.life = {1};
     hello.at = {sidecarName};
-    say(no, hello);
+    sendMessage(no, hello);
     return no;
   }
-  void say(std::uint64_t session, const Message& message) {
+  void sendMessage(std::uint64_t session, const Message& message) {
     const std::string at = links_.at(session).to;
-    act(at, node(at).heard(now_, {session}, nlohmann::json::parse(encode(message))));
+    perform(at, node(at).messageReceived(now_, {session}, nlohmann::json::parse(encode(message))));
   }
-  void sayText(std::uint64_t session, const std::string& text) {
+  void sendText(std::uint64_t session, const std::string& text) {
     const std::string at = links_.at(session).to;
-    act(at, node(at).heard(now_, {session}, nlohmann::json::parse(text, nullptr, false)));
+    perform(at, node(at).messageReceived(now_, {session}, nlohmann::json::parse(text, nullptr, false)));
   }
-  [[nodiscard]] bool open(std::uint64_t session) const { return links_.count(session) > 0; }
-  /// What came to a sidecar's session, in order.
-  std::vector<Message>& heard(std::uint64_t session) { return heard_[session]; }
+  [[nodiscard]] bool isOpen(std::uint64_t session) const { return links_.count(session) > 0; }
+  /// The messages that a sidecar's session has received, in order.
+  std::vector<Message>& received(std::uint64_t session) { return received_[session]; }
   template <class Kind>
   const Kind* last(std::uint64_t session) {
     const Kind* found = nullptr;
-    for (const Message& message : heard_[session]) {
+    for (const Message& message : received_[session]) {
       if (const auto* typed = std::get_if<Kind>(&message)) found = typed;
     }
     return found;
   }
-  [[nodiscard]] const std::vector<std::string>& refused() const { return refused_; }
-  /// Bytes of messages between control processes so far.
+  /// Reasons of refused store entries and messages.
+  [[nodiscard]] const std::vector<std::string>& refusals() const { return refusals_; }
+  /// Bytes of messages sent between control processes.
   [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
  private:
-  static constexpr Span kTrip = 1ms;
-  static constexpr Span kSync = 5ms;
-  static constexpr Span kUnread = 2500ms;  // until a cut way breaks
+  static constexpr Span kLatency = 1ms;
+  static constexpr Span kSyncTime = 5ms;
+  static constexpr Span kBreakTimeout = 2500ms;  // until the session of disconnected processes breaks
 
   struct Event {
     Span at;
@@ -168,14 +173,14 @@
     std::map<std::string, std::string> disk;
     std::deque<std::pair<BatchNo, std::vector<StoreEntry>>> waiting;
     std::uint64_t syncing = 0;
-    Span syncTime = kSync;
-    bool refuses = false;
+    Span syncTime = kSyncTime;
+    bool refusesWrites = false;
   };
   struct Link {
     std::string from, to;
-    std::uint64_t fromNo = 0;  // the session's number at the one that dialled; 0: a sidecar of the test
+    std::uint64_t fromNo = 0;  // the session's number at the dialling process; 0: a simulated sidecar
   };
-  /// At the first start the founders, later those that run: as an operator's list has them.
+  /// The founders at the first start, later the running processes, as in an operator's configuration.
   [[nodiscard]] std::vector<Address> seeds(bool firstBoot) const {
     constexpr std::size_t kSeeds = 3;
     std::vector<Address> all;
@@ -192,24 +197,24 @@
     });
   }
   void tick(const std::string& machine, std::uint64_t life) {
-    act(machine, node(machine).tick(now_));
-    atProcess(now_ + ControlNode::tickEvery(), machine, [this, machine, life] { tick(machine, life); });
+    perform(machine, node(machine).tick(now_));
+    atProcess(now_ + ControlNode::tickInterval(), machine, [this, machine, life] { tick(machine, life); });
   }
-  [[nodiscard]] bool isCut(const std::string& from, const std::string& to) const {
-    return cuts_.count({from, to}) > 0;
+  [[nodiscard]] bool isDisconnected(const std::string& from, const std::string& to) const {
+    return disconnected_.count({from, to}) > 0;
   }
 
   void dial(const std::string& from, const std::string& to) {
     const auto target = machines_.find(to);
-    const bool reachable = target != machines_.end() && target->second.life != 0 && !isCut(from, to);
-    atProcess(now_ + (reachable ? 2 * kTrip : 300ms), from, [this, from, to, reachable] {
-      if (!reachable || machines_.at(to).life == 0) return act(from, node(from).unreached(now_, {to}));
+    const bool reachable = target != machines_.end() && target->second.life != 0 && !isDisconnected(from, to);
+    atProcess(now_ + (reachable ? 2 * kLatency : 300ms), from, [this, from, to, reachable] {
+      if (!reachable || machines_.at(to).life == 0) return perform(from, node(from).dialFailed(now_, {to}));
       const std::uint64_t no = ++sessions_;
       const std::uint64_t fromNo = ++sessions_;
       links_[no] = {from, to, fromNo};
       byDialler_[fromNo] = no;
-      act(to, node(to).came(now_, {no}));
-      act(from, node(from).reached(now_, {fromNo}, {to}));
+      perform(to, node(to).sessionAccepted(now_, {no}));
+      perform(from, node(from).sessionEstablished(now_, {fromNo}, {to}));
     });
   }
   void deliver(const std::string& from, std::uint64_t session, const std::string& text) {
@@ -219,33 +224,35 @@
     if (link == links_.end()) return;
     if (link->second.fromNo == 0) {
       auto read = decode(nlohmann::json::parse(text));
-      if (read) heard_[no].push_back(std::move(read).value());
+      if (read) received_[no].push_back(std::move(read).value());
       return;
     }
     bytes_ += text.size();
     const std::string to = dialler ? link->second.to : link->second.from;
     const std::uint64_t there = dialler ? no : link->second.fromNo;
-    if (isCut(from, to)) {
-      if (broken_.insert(no).second) at(now_ + kUnread, [this, no] { endLink(no, ""); });
+    if (isDisconnected(from, to)) {
+      if (broken_.insert(no).second) at(now_ + kBreakTimeout, [this, no] { closeLink(no, ""); });
       return;
     }
     if (broken_.count(no) > 0) return;
-    atProcess(now_ + kTrip, to, [this, to, there, no, text] {
-      if (links_.count(no) > 0) act(to, node(to).heard(now_, {there}, nlohmann::json::parse(text)));
+    atProcess(now_ + kLatency, to, [this, to, there, no, text] {
+      if (links_.count(no) > 0)
+        perform(to, node(to).messageReceived(now_, {there}, nlohmann::json::parse(text)));
     });
   }
-  void endLink(std::uint64_t no, const std::string& by) {
+  void closeLink(std::uint64_t no, const std::string& by) {
     const auto found = links_.find(no);
     if (found == links_.end()) return;
     const Link link = found->second;
     links_.erase(found);
     if (link.to != by && machines_.count(link.to) > 0)
-      atProcess(now_ + kTrip, link.to, [this, link, no] { act(link.to, node(link.to).ended(now_, {no})); });
+      atProcess(now_ + kLatency, link.to,
+                [this, link, no] { perform(link.to, node(link.to).sessionClosed(now_, {no})); });
     if (link.fromNo == 0) return;
     byDialler_.erase(link.fromNo);
     if (link.from != by)
-      atProcess(now_ + kTrip, link.from,
-                [this, link] { act(link.from, node(link.from).ended(now_, {link.fromNo})); });
+      atProcess(now_ + kLatency, link.from,
+                [this, link] { perform(link.from, node(link.from).sessionClosed(now_, {link.fromNo})); });
   }
   void sync(const std::string& at) {
     Machine& machine = machines_.at(at);
@@ -254,7 +261,7 @@
     atProcess(now_ + machine.syncTime, at, [this, at] {
       Machine& there = machines_.at(at);
       std::vector<BatchNo> done;
-      const bool refused = there.refuses;
+      const bool refused = there.refusesWrites;
       for (; there.syncing > 0; --there.syncing) {
         if (!refused) {
           for (const auto& [key, value] : there.waiting.front().second) {
@@ -269,22 +276,22 @@
         there.waiting.pop_front();
       }
       sync(at);
-      for (const BatchNo batch : done) act(at, node(at).written(now_, batch, !refused));
+      for (const BatchNo batch : done) perform(at, node(at).writeCompleted(now_, batch, !refused));
     });
   }
-  void act(const std::string& machine, const ControlActions& actions) {
+  void perform(const std::string& machine, const ControlActions& actions) {
     for (const ControlAction& action : actions) {
       switch (action.kind) {
-        case ControlAction::Kind::say:
+        case ControlAction::Kind::send:
           deliver(machine, action.session.value, *action.text);
           break;
         case ControlAction::Kind::dial:
           dial(machine, action.at.value);
           break;
-        case ControlAction::Kind::hangUp: {
-          if (!action.body.empty()) refused_.push_back(action.body);
-          const auto mine = byDialler_.find(action.session.value);
-          endLink(mine == byDialler_.end() ? action.session.value : mine->second, machine);
+        case ControlAction::Kind::close: {
+          if (!action.body.empty()) refusals_.push_back(action.body);
+          const auto dialled = byDialler_.find(action.session.value);
+          closeLink(dialled == byDialler_.end() ? action.session.value : dialled->second, machine);
           break;
         }
         case ControlAction::Kind::write:
@@ -301,7 +308,7 @@
   std::size_t founders_;
   Span now_{};
   std::uint64_t eventNo_ = 0;
-  std::uint64_t lives_ = 0;
+  std::uint64_t lastLife_ = 0;
   std::uint64_t sessions_ = 0;
   std::uint64_t calls_ = 0;
   std::size_t bytes_ = 0;
@@ -310,10 +317,10 @@
   std::map<std::uint64_t, Link> links_;
   std::map<std::uint64_t, std::uint64_t> byDialler_;
   std::set<std::uint64_t> broken_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> disconnected_;
   std::map<std::uint64_t, Answer> answers_;
-  std::map<std::uint64_t, std::vector<Message>> heard_;
-  std::vector<std::string> refused_;
+  std::map<std::uint64_t, std::vector<Message>> received_;
+  std::vector<std::string> refusals_;
 };
 
 }  // namespace rackroute::mesh::test
--- a/tests/control_messages_test.cpp
+++ b/tests/control_messages_test.cpp
@@ -41,7 +41,7 @@
   Ballot ballot() { return {number() >> 2, {number()}}; }
   VoterId voter() { return {address(), {number()}}; }
   ClaimNo claim() { return {number()}; }
-  KeyPrint print() { return {number(), number()}; }
+  KeyHash print() { return {number(), number()}; }
   Holder holder() { return {address(), {number()}, {number()}}; }
   VoterSet voterSet() {
     std::map<Address, VoterId> byAddress;
@@ -97,8 +97,8 @@
   AcceptedOrder accepted() { return {ballot(), order()}; }
   RegisterId registerId() { return registerOf(item()); }
   DecidedRegister decided() { return {registerId(), number()}; }
-  News news() {
-    News news;
+  ServerStatus news() {
+    ServerStatus news;
     news.served = {{text()},
                    {text()},
                    address(),
@@ -114,10 +114,10 @@
                    std::chrono::milliseconds(below(100000))};
     // Of a server that signed off it does not matter what is at its address.
     news.served.replaced = news.served.replaced && !news.served.gone;
-    news.heard = flag();
+    news.connected = flag();
     return news;
   }
-  std::pair<ClaimNo, KeyPrint> claimOfKey() { return {claim(), print()}; }
+  std::pair<ClaimNo, KeyHash> claimOfKey() { return {claim(), print()}; }
   json versions() {
     json versions = json::object();
     for (std::uint64_t left = below(4); left > 0; --left)
--- a/tests/control_node_test.cpp
+++ b/tests/control_node_test.cpp
@@ -1,4 +1,4 @@
-// Control nodes together: agreement, membership, contact with a majority, recovery, disks, bad input.
+// Clusters of control nodes: agreement, membership, majority contact, recovery, disk failures, bad input.
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -11,31 +11,32 @@
 using nlohmann::json;
 using namespace rackroute::mesh::test;
 
-TEST_CASE("control nodes found one set of voters, and a change is acknowledged with a majority's disks") {
-  ControlCluster cluster = founded(4);
+TEST_CASE(
+    "control nodes agree on a first voter set, and acknowledge a change once a majority has it on disk") {
+  ControlCluster cluster = foundedCluster(4);
   for (const std::string& at : names(4)) {
     CHECK(cluster.node(at).membership().set().epoch == Epoch{1});
     CHECK(cluster.node(at).membership().set().voters.size() == 4);
     CHECK(cluster.node(at).settled());
   }
-  SECTION("held by all soon after") {
+  SECTION("all nodes have it shortly afterwards") {
     REQUIRE(send(cluster, name(1), change("look", 5)) == 200);
     cluster.run(100ms);
     for (const std::string& at : names(4)) CHECK(routeAt(cluster, at, "look")->generation == Generation{5});
   }
-  SECTION("not without a majority of disks") {
+  SECTION("no acknowledgement without a majority of disks") {
     cluster.refuseWrites(name(1), true);
     cluster.refuseWrites(name(2), true);
     const std::uint32_t status = send(cluster, name(0), change("look", 5));
     CHECK(status == 503);
-    // Not in force anywhere, as it is not decided.
+    // It is undecided and must not be in force anywhere.
     for (const std::string& at : names(4)) CHECK(routeAt(cluster, at, "look")->generation == Generation{1});
-    // Once the disks take writes again the same order is acknowledged.
+    // The same order is acknowledged once the disks accept writes again.
     cluster.refuseWrites(name(1), false);
     cluster.refuseWrites(name(2), false);
-    CHECK(sendUntilClear(cluster, names(4), change("look", 5)) == 200);
+    CHECK(sendWithRetry(cluster, names(4), change("look", 5)) == 200);
   }
-  SECTION("a process whose own disk refuses still brings orders to a majority of the others") {
+  SECTION("a process whose own disk refuses writes still proposes orders to a majority") {
     cluster.refuseWrites(name(0), true);
     CHECK(send(cluster, name(0), change("look", 5)) == 200);
     cluster.run(1s);
@@ -46,21 +47,21 @@
   }
 }
 
-TEST_CASE("of two orders under one version one is acknowledged, and the other is refused everywhere") {
+TEST_CASE("of two orders with the same version one is acknowledged and the other is refused everywhere") {
   for (int round = 0; round < 20; ++round) {
-    ControlCluster cluster = founded(round % 2 == 0 ? 3 : 5);
+    ControlCluster cluster = foundedCluster(round % 2 == 0 ? 3 : 5);
     const std::size_t size = round % 2 == 0 ? 3 : 5;
     const std::uint64_t version = 7;
-    const std::uint64_t one = cluster.change(name(0), change("look", version, "800ms"));
+    const std::uint64_t firstCall = cluster.change(name(0), change("look", version, "800ms"));
     cluster.run(1ms * (round % 7));
-    const std::uint64_t other = cluster.change(name(1), change("look", version, "700ms"));
-    std::uint32_t first = statusOf(cluster, one);
-    std::uint32_t second = statusOf(cluster, other);
-    // Sent again where there was no clear answer, to any process.
+    const std::uint64_t secondCall = cluster.change(name(1), change("look", version, "700ms"));
+    std::uint32_t first = statusOf(cluster, firstCall);
+    std::uint32_t second = statusOf(cluster, secondCall);
+    // Retried at any process if the outcome is unknown.
     if (first >= 500 || first == 0)
-      first = sendUntilClear(cluster, names(size), change("look", version, "800ms"));
+      first = sendWithRetry(cluster, names(size), change("look", version, "800ms"));
     if (second >= 500 || second == 0)
-      second = sendUntilClear(cluster, names(size), change("look", version, "700ms"));
+      second = sendWithRetry(cluster, names(size), change("look", version, "700ms"));
     CHECK(std::min(first, second) == 200);
     CHECK(std::max(first, second) == 409);
     const std::string won = first == 200 ? "800ms" : "700ms";
@@ -75,7 +76,7 @@
 }
 
 TEST_CASE("an acknowledged order is acknowledged again after restarts, a wipe and newer orders") {
-  ControlCluster cluster = founded(3);
+  ControlCluster cluster = foundedCluster(3);
   REQUIRE(send(cluster, name(0), change("look", 5, "800ms")) == 200);
   REQUIRE(send(cluster, name(1), change("look", 6, "700ms")) == 200);
   cluster.kill(name(0));
@@ -98,20 +99,20 @@
 
 namespace {
 
-/// A later version is acknowledged at one of four processes, and another one hears nothing of it.
-ControlCluster withLaterVersionUnheard() {
-  ControlCluster cluster = founded(4);
-  cluster.cut(name(0), name(3));
+/// A cluster of four that has acknowledged version 9 at one process while another one has not received it.
+ControlCluster withLaterVersionMissingAtOne() {
+  ControlCluster cluster = foundedCluster(4);
+  cluster.disconnect(name(0), name(3));
   REQUIRE(send(cluster, name(0), change("look", 9)) == 200);
   return cluster;
 }
 
-/// Whether any process has that version of the route in force at some moment of the time.
-bool everInForce(ControlCluster& cluster, std::size_t size, std::uint64_t version, Span time) {
+/// Whether any process has that version of the route in force at any moment of the period.
+bool everInForce(ControlCluster& cluster, std::size_t size, std::uint64_t version, Span period) {
   bool found = false;
-  for (const Span until = cluster.now() + time; cluster.now() < until; cluster.run(1ms)) {
+  for (const Span until = cluster.now() + period; cluster.now() < until; cluster.run(1ms)) {
     for (const std::string& at : names(size)) {
-      const Item* const route = cluster.up(at) ? routeAt(cluster, at, "look") : nullptr;
+      const Item* const route = cluster.running(at) ? routeAt(cluster, at, "look") : nullptr;
       found = found || (route != nullptr && route->generation == Generation{version});
     }
   }
@@ -120,17 +121,17 @@
 
 }  // namespace
 
-TEST_CASE("an old version that comes after a later one was acknowledged is never in force anywhere") {
+TEST_CASE("an older version proposed after a later one was acknowledged never comes into force") {
   const std::string old = change("look", 6, "100ms");
-  SECTION("where one process has not heard of the later one, as the way to its proposer is cut") {
-    ControlCluster cluster = withLaterVersionUnheard();
+  SECTION("one process lacks the later version, being disconnected from its proposer") {
+    ControlCluster cluster = withLaterVersionMissingAtOne();
     const std::uint64_t call = cluster.change(name(1), old);
     CHECK_FALSE(everInForce(cluster, 4, 6, 3s));
     CHECK(cluster.answer(call)->status == 200);
     CHECK(routeAt(cluster, name(3), "look")->generation == Generation{9});
   }
-  SECTION("where nobody knows that the later one is decided, as its proposer ended right after the answer") {
-    ControlCluster cluster = founded(5);
+  SECTION("no other process knows that the later version is decided, as its proposer was killed") {
+    ControlCluster cluster = foundedCluster(5);
     const std::uint64_t later = cluster.change(name(0), change("look", 9));
     while (!cluster.answer(later)) cluster.run(100us);
     REQUIRE(cluster.answer(later)->status == 200);
@@ -140,8 +141,8 @@
     CHECK(cluster.answer(call)->status == 200);
     CHECK(routeAt(cluster, name(1), "look")->generation == Generation{9});
   }
-  SECTION("together with an item that nothing has overtaken") {
-    ControlCluster cluster = withLaterVersionUnheard();
+  SECTION("in one order with an item that has no later version") {
+    ControlCluster cluster = withLaterVersionMissingAtOne();
     const std::string both = changeOf({routeValue("more", 2, "900ms"), routeValue("look", 6, "100ms")});
     const std::uint64_t call = cluster.change(name(1), both);
     CHECK_FALSE(everInForce(cluster, 4, 6, 3s));
@@ -150,8 +151,8 @@
   }
 }
 
-TEST_CASE("an order that was taken is acknowledged again after its service is gone, a new one is refused") {
-  ControlCluster cluster = founded(3);
+TEST_CASE("a decided order is acknowledged again after its service was removed, and a new one is refused") {
+  ControlCluster cluster = foundedCluster(3);
   const auto serviceOf = [](const char* version) { return json{{"name", "extra"}, {"generation", version}}; };
   const auto routed = [](const char* name, std::uint64_t version) {
     json route = routeValue(name, version, "900ms");
@@ -160,9 +161,9 @@
   };
   REQUIRE(send(cluster, name(0), json{{"upsert", {{"service_list", {serviceOf("r2")}}}}}.dump()) == 200);
   REQUIRE(send(cluster, name(1), routed("more", 3)) == 200);
-  const json gone{{"route_list", {{{"name", "more"}, {"generation", "r4"}}}},
-                  {"service_list", {serviceOf("r4")}}};
-  REQUIRE(send(cluster, name(2), json{{"remove", gone}}.dump()) == 200);
+  const json removal{{"route_list", {{{"name", "more"}, {"generation", "r4"}}}},
+                     {"service_list", {serviceOf("r4")}}};
+  REQUIRE(send(cluster, name(2), json{{"remove", removal}}.dump()) == 200);
   cluster.run(200ms);
   for (const std::string& at : names(3)) {
     CHECK(send(cluster, at, routed("more", 3)) == 200);
@@ -172,54 +173,54 @@
   }
 }
 
-TEST_CASE("of an order with many items nothing is in force if one of them is refused") {
-  ControlCluster cluster = founded(3);
+TEST_CASE("no item of an order comes into force if one of its items is refused") {
+  ControlCluster cluster = foundedCluster(3);
   REQUIRE(send(cluster, name(0), change("look", 5, "800ms")) == 200);
   const std::string many = changeOf({routeValue("more", 2, "900ms"), routeValue("look", 5, "700ms")});
-  CHECK(sendUntilClear(cluster, names(3), many) == 409);
+  CHECK(sendWithRetry(cluster, names(3), many) == 409);
   cluster.run(2s);
   for (const std::string& at : names(3)) CHECK(routeAt(cluster, at, "more") == nullptr);
 }
 
-TEST_CASE("a control process that is cut off answers nothing of its own, and its sidecars are told") {
-  ControlCluster cluster = founded(4);
-  const std::uint64_t session = cluster.sidecar(name(0), "s");
+TEST_CASE(
+    "an isolated control process answers operators with 503 and tells its sidecars that it is not settled") {
+  ControlCluster cluster = foundedCluster(4);
+  const std::uint64_t session = cluster.connectSidecar(name(0), "s");
   cluster.run(600ms);
   REQUIRE(cluster.last<Heartbeat>(session)->settled);
-  cluster.cutOff(name(0));
+  cluster.isolate(name(0));
   cluster.run(1400ms);
   CHECK_FALSE(cluster.node(name(0)).settled());
   CHECK_FALSE(cluster.last<Heartbeat>(session)->settled);
-  // The others go on, and know a service that it does not.
+  // The others continue and accept a service that the isolated process does not know.
   const std::string known =
       json{{"upsert", {{"service_list", {{{"name", "line"}, {"generation", "r8"}}}}}}}.dump();
-  REQUIRE(sendUntilClear(cluster, {name(1), name(2)}, known) == 200);
+  REQUIRE(sendWithRetry(cluster, {name(1), name(2)}, known) == 200);
   json toLine = routeValue("far", 9, "900ms");
   toLine["target"] = "line";
   CHECK(send(cluster, name(0), changeOf({toLine})) == 503);
   CHECK(statusOf(cluster, cluster.readBack(name(0))) == 503);
   const Span before = cluster.now();
   const std::uint64_t call = cluster.change(name(0), change("look", 5));
-  REQUIRE(cluster.answer(call));  // at once
+  REQUIRE(cluster.answer(call));  // immediately
   CHECK(cluster.answer(call)->at == before);
   CHECK(send(cluster, name(2), changeOf({toLine})) == 200);
-  // Back in touch it knows the newest before it answers anyone.
-  cluster.cutOff(name(0), false);
+  // After reconnecting it reads the newest configuration before it answers.
+  cluster.isolate(name(0), false);
   cluster.run(4s);
   REQUIRE(cluster.node(name(0)).settled());
   CHECK(routeAt(cluster, name(0), "far") != nullptr);
   CHECK(send(cluster, name(0), changeOf({toLine})) == 200);
 }
 
-TEST_CASE(
-    "a wiped disk, a second one and a machine at a new address are replaced with no word of an operator") {
-  ControlCluster cluster = founded(5);
+TEST_CASE("voters with wiped disks or on machines at new addresses are replaced without an operator") {
+  ControlCluster cluster = foundedCluster(5);
   std::vector<std::string> all = names(5);
-  const std::uint64_t session = cluster.sidecar(name(4), "s");
-  cluster.say(session, claimOf(cluster, name(4), 1, "key"));
+  const std::uint64_t session = cluster.connectSidecar(name(4), "s");
+  cluster.sendMessage(session, claimOf(cluster, name(4), 1, "key"));
   cluster.run(100ms);
   REQUIRE(cluster.last<Votes>(session));
-  SECTION("two wiped at once") {
+  SECTION("two disks wiped at once") {
     for (const std::string& at : {name(0), name(1)}) {
       cluster.kill(at);
       cluster.wipe(at);
@@ -228,7 +229,7 @@
     cluster.start(name(0));
     cluster.start(name(1));
   }
-  SECTION("one wiped, and the next right after the repair") {
+  SECTION("disks wiped one after another, each once the previous voter has recovered") {
     for (const std::string& at : {name(0), name(1), name(2)}) {
       cluster.kill(at);
       cluster.wipe(at);
@@ -238,17 +239,17 @@
       CHECK(cluster.node(at).holdsState());
     }
   }
-  SECTION("gone for good, a new one at another address, several times") {
-    for (std::size_t gone = 0; gone < 4; ++gone) {
-      cluster.kill(all[gone]);
+  SECTION("machines lost permanently and replaced at new addresses") {
+    for (std::size_t lost = 0; lost < 4; ++lost) {
+      cluster.kill(all[lost]);
       cluster.run(1s);
-      cluster.start(name(10 + gone));
+      cluster.start(name(10 + lost));
       cluster.run(4s);
-      all[gone] = name(10 + gone);
-      CHECK(cluster.node(all[gone]).holdsState());
+      all[lost] = name(10 + lost);
+      CHECK(cluster.node(all[lost]).holdsState());
     }
   }
-  SECTION("planned, the new one first") {
+  SECTION("planned replacement: the new process starts before the old one stops") {
     cluster.start(name(10));
     cluster.run(1s);
     cluster.kill(name(0));
@@ -263,20 +264,20 @@
     CHECK(cluster.node(at).holdsState());
     CHECK(cluster.node(at).settled());
   }
-  CHECK(sendUntilClear(cluster, all, change("look", 5)) == 200);
+  CHECK(sendWithRetry(cluster, all, change("look", 5)) == 200);
   cluster.run(200ms);
   CHECK(routeAt(cluster, all[0], "look")->generation == Generation{5});
 }
 
 TEST_CASE(
-    "a voter without its disk votes on nothing until it has read, and then keeps to what was promised") {
-  ControlCluster cluster = founded(3);
+    "a voter that lost its disk does not vote until it has recovered, and then keeps earlier promises") {
+  ControlCluster cluster = foundedCluster(3);
   const std::vector<std::string> all = names(3);
   const auto claim = [&](const std::string& at, const std::string& claimer) -> std::optional<Vote> {
-    const std::uint64_t session = cluster.sidecar(at, claimer);
+    const std::uint64_t session = cluster.connectSidecar(at, claimer);
     ClaimRequest request = claimOf(cluster, at, 1, "key");
     request.at = {claimer};
-    cluster.say(session, request);
+    cluster.sendMessage(session, request);
     cluster.run(50ms);
     const Votes* const votes = cluster.last<Votes>(session);
     return votes == nullptr ? std::nullopt : std::optional(votes->votes.at(0));
@@ -286,7 +287,7 @@
     REQUIRE(vote);
     CHECK_FALSE(vote->holder);
   }
-  // One after the other loses its disk: the promise of the majority stands all the same.
+  // The voters lose their disks one after another; the majority's promise must survive.
   for (const std::string& at : {name(0), name(1), name(2), name(0)}) {
     cluster.kill(at);
     cluster.wipe(at);
@@ -294,7 +295,7 @@
     cluster.start(at);
     CHECK_FALSE(cluster.node(at).holdsState());
     CHECK_FALSE(claim(at, "second"));
-    // What it keeps by then makes it no witness of its promises after one more start.
+    // A restart during recovery must not make its partial state count as complete.
     if (!cluster.node(at).holdsState()) {
       cluster.kill(at);
       cluster.start(at);
@@ -310,12 +311,12 @@
   }
 }
 
-TEST_CASE("a member that restarts after hundreds of changes has them all before it answers") {
-  ControlCluster cluster = founded(3);
+TEST_CASE("a process that restarts after hundreds of changes has all of them before it answers") {
+  ControlCluster cluster = foundedCluster(3);
   cluster.kill(name(0));
   for (std::uint64_t version = 10; version < 310; ++version) {
-    REQUIRE(sendUntilClear(cluster, {name(1), name(2)},
-                           change("r" + std::to_string(version % 40), version)) == 200);
+    REQUIRE(sendWithRetry(cluster, {name(1), name(2)}, change("r" + std::to_string(version % 40), version)) ==
+            200);
   }
   cluster.start(name(0));
   const Span from = cluster.now();
@@ -325,33 +326,33 @@
   CHECK(cluster.now() - from < 3s);
 }
 
-TEST_CASE("what can't be read is refused with a line that names step and peer, and changes nothing") {
-  ControlCluster cluster = founded(3);
+TEST_CASE("malformed input is refused with a logged reason and changes nothing") {
+  ControlCluster cluster = foundedCluster(3);
   const std::uint64_t digest = cluster.node(name(0)).items().digest();
   SECTION("messages") {
     for (const char* text : {"{}", "[]", "7", R"({"t":"nothing"})", R"({"t":"claim"})",
                              R"({"t":"hello","format":1})", R"({"t":"decided","order":{"items":5}})"}) {
-      const std::uint64_t session = cluster.sidecar(name(0), std::string("s") + text);
-      const std::size_t before = cluster.refused().size();
-      cluster.sayText(session, text);
-      CHECK_FALSE(cluster.open(session));
-      CHECK(cluster.refused().size() == before + 1);
+      const std::uint64_t session = cluster.connectSidecar(name(0), std::string("s") + text);
+      const std::size_t before = cluster.refusals().size();
+      cluster.sendText(session, text);
+      CHECK_FALSE(cluster.isOpen(session));
+      CHECK(cluster.refusals().size() == before + 1);
     }
   }
-  SECTION("an epoch from the future") {
-    const std::uint64_t session = cluster.sidecar(name(0), "s");
+  SECTION("a claim with a future epoch") {
+    const std::uint64_t session = cluster.connectSidecar(name(0), "s");
     ClaimRequest claim = claimOf(cluster, name(0), 1, "key");
     claim.epoch = {99};
-    cluster.say(session, claim);
+    cluster.sendMessage(session, claim);
     cluster.run(100ms);
     CHECK(cluster.last<Votes>(session) == nullptr);
     CHECK(cluster.node(name(0)).membership().set().epoch == Epoch{1});
   }
-  SECTION("a torn identity: the disk counts as lost, and the process joins anew") {
+  SECTION("a truncated identity record: the disk counts as lost and the process rejoins as a new voter") {
     cluster.kill(name(0));
     cluster.disk(name(0))["!identity"] = "{\"incarn";
     cluster.start(name(0));
-    CHECK(cluster.refused().size() == 1);
+    CHECK(cluster.refusals().size() == 1);
     cluster.run(4s);
     CHECK(cluster.node(name(0)).holdsState());
     CHECK(cluster.node(name(0)).membership().set().epoch == Epoch{2});
@@ -361,13 +362,13 @@
 }
 
 TEST_CASE(
-    "stores of before epochs are carried over: their processes found the set, with all that they hold") {
-  ControlCluster cluster = founded(3);
+    "stores of the format without epochs are migrated: their processes form the first set with their state") {
+  ControlCluster cluster = foundedCluster(3);
   std::map<std::string, std::string> old{{"c", "[\"c0:1\"]"}};
   for (const auto& [key, value] : cluster.disk(name(0))) {
     if (key.rfind("i/", 0) == 0 && key.rfind("i/voters", 0) != 0) old[key] = value;
   }
-  old["k/" + textOf(printOfKey("key"))] = json::array({"s:1", 3, 9, 0}).dump();
+  old["k/" + textOf(hashOfKey("key"))] = json::array({"s:1", 3, 9, 0}).dump();
   for (const std::string& at : names(3)) {
     cluster.kill(at);
     cluster.disk(at) = old;
@@ -379,5 +380,5 @@
     CHECK(cluster.node(at).keys().promises().all().size() == 1);
     CHECK(routeAt(cluster, at, "look") != nullptr);
   }
-  CHECK(sendUntilClear(cluster, names(3), change("look", 5)) == 200);
+  CHECK(sendWithRetry(cluster, names(3), change("look", 5)) == 200);
 }
--- a/tests/control_requests.hpp
+++ b/tests/control_requests.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// What operators and sidecars ask of the nodes of a ControlCluster, for directed tests.
+// Requests of operators and sidecars to the nodes of a ControlCluster, for directed tests.
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -30,7 +30,7 @@
 
 inline std::string name(std::size_t number) { return ControlCluster::name(number); }
 
-/// The answer after that long at most.
+/// Runs the cluster until the call is answered or the time is over. Returns the status; 0: no answer.
 inline std::uint32_t statusOf(ControlCluster& cluster, std::uint64_t call, Span within = 900ms) {
   const Span until = cluster.now() + within;
   while (cluster.now() < until && !cluster.answer(call)) cluster.run(10ms);
@@ -42,13 +42,13 @@
   return statusOf(cluster, cluster.change(at, body));
 }
 
-/// As an operator does it: to the next process after any failure.
-inline std::uint32_t sendUntilClear(ControlCluster& cluster, const std::vector<std::string>& to,
-                                    const std::string& body, Span within = 6s) {
+/// Retries like an operator, at the next process after each failure.
+inline std::uint32_t sendWithRetry(ControlCluster& cluster, const std::vector<std::string>& to,
+                                   const std::string& body, Span within = 6s) {
   const Span until = cluster.now() + within;
   for (std::size_t i = 0; cluster.now() < until; ++i) {
     const std::string& at = to[i % to.size()];
-    const std::uint32_t status = cluster.up(at) ? send(cluster, at, body) : 0;
+    const std::uint32_t status = cluster.running(at) ? send(cluster, at, body) : 0;
     if (status != 0 && status < 500) return status;
     cluster.run(100ms);
   }
@@ -61,11 +61,11 @@
   return all;
 }
 
-/// A cluster that is founded and has its first configuration.
-inline ControlCluster founded(std::size_t size) {
+/// A cluster that has its first voter set and its first configuration.
+inline ControlCluster foundedCluster(std::size_t size) {
   ControlCluster cluster(size);
   cluster.run(3s);
-  REQUIRE(sendUntilClear(cluster, names(size), kFirst) == 200);
+  REQUIRE(sendWithRetry(cluster, names(size), kFirst) == 200);
   cluster.run(500ms);
   return cluster;
 }
@@ -76,7 +76,7 @@
 
 inline ClaimRequest claimOf(ControlCluster& cluster, const std::string& voter, std::uint64_t claim,
                             const std::string& key) {
-  return {cluster.node(voter).membership().set().epoch, {"s:1"}, {{ClaimNo{claim}, printOfKey(key)}}};
+  return {cluster.node(voter).membership().set().epoch, {"s:1"}, {{ClaimNo{claim}, hashOfKey(key)}}};
 }
 
 }  // namespace rackroute::mesh::test
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -1,5 +1,5 @@
-// What servers said of their leaving, and what their end means to others: it stands in every later life of
-// the process that took it, whoever tells of it, and in whatever order.
+// Announced departures of servers and servers that were replaced: both must survive restarts of the sidecar
+// and updates that arrive late, out of order or from other reporters.
 
 #include <catch2/catch.hpp>
 
@@ -14,25 +14,25 @@
 namespace {
 
 Beat draining(const std::string& id, std::uint64_t seq) {
-  Beat told = beat(id, seq);
-  told.draining = true;
-  return told;
+  Beat made = beat(id, seq);
+  made.draining = true;
+  return made;
 }
 
 Beat signOff(const std::string& id) {
-  Beat told;
-  told.id = {id};
-  told.gone = true;
-  return told;
+  Beat made;
+  made.id = {id};
+  made.gone = true;
+  return made;
 }
 
-/// Whether a request for the server "i1" is let in.
-bool letsIn(Admission& here, Span now, std::uint64_t number) {
+/// Whether a request for the server "i1" is admitted.
+bool admits(Admission& here, Span now, std::uint64_t number) {
   const AdmissionActions acts = here.asked(now, {number}, ask(RouteKind::pure), std::nullopt);
   return countOf(acts, AdmissionAction::Kind::run) == 1;
 }
 
-Served servedHere(std::uint64_t life, std::uint64_t seq = 1) {
+Served servedOnNode(std::uint64_t life, std::uint64_t seq = 1) {
   Served made = served("i1", seq);
   made.node = {"n"};
   made.life = {life};
@@ -41,53 +41,54 @@
 
 }  // namespace
 
-TEST_CASE("a server that said that it leaves gets nothing new from a later life of the process beside it") {
+TEST_CASE("a server that announced its departure gets no new requests after its sidecar restarted") {
   Admission here = admissionWithVoters();
-  SECTION("its first beat here says that it drains: since when is not known") {
+  SECTION("its first heartbeat to the new sidecar says that it drains") {
     here.beat(0s, draining("i1", 9));
-    CHECK_FALSE(letsIn(here, 0s, 1));
+    CHECK_FALSE(admits(here, 0s, 1));
   }
-  SECTION("it signs off before its first beat here, and beats on or late") {
+  SECTION("it signs off before its first heartbeat, and a late heartbeat follows") {
     here.beat(0s, signOff("i1"));
     here.beat(100ms, beat("i1", 8));
-    CHECK_FALSE(letsIn(here, 200ms, 1));
+    CHECK_FALSE(admits(here, 200ms, 1));
   }
-  SECTION("it was taken over from old news, and other news tell that it drains") {
-    here.adopt(0s, servedHere(5));
-    REQUIRE(letsIn(here, 0s, 1));
-    Served drains = servedHere(6);
+  SECTION("it was restored from an old record, and a newer record says that it drains") {
+    here.adopt(0s, servedOnNode(5));
+    REQUIRE(admits(here, 0s, 1));
+    Served drains = servedOnNode(6);
     drains.draining = true;
     here.adopt(10ms, drains);
-    CHECK_FALSE(letsIn(here, 20ms, 2));
+    CHECK_FALSE(admits(here, 20ms, 2));
   }
-  SECTION("it beats, late, that it is ready after the news came that it has signed off") {
-    Served gone = servedHere(6);
+  SECTION("a late heartbeat says that it is ready after a record said that it signed off") {
+    Served gone = servedOnNode(6);
     gone.gone = true;
     here.adopt(0s, gone);
     here.beat(10ms, beat("i1", 8));
-    CHECK_FALSE(letsIn(here, 20ms, 1));
+    CHECK_FALSE(admits(here, 20ms, 1));
   }
-  SECTION("what it says with a call that came late binds too") {
+  SECTION("a draining heartbeat that arrives late takes effect, too") {
     here.beat(0s, beat("i1", 9));
     here.beat(100ms, draining("i1", 8));
-    CHECK_FALSE(letsIn(here, 5s, 1));
+    CHECK_FALSE(admits(here, 5s, 1));
   }
 }
 
-TEST_CASE("what a server said of its leaving stands in the registry and at callers, whoever tells of it") {
-  Served ready = servedHere(8);
-  Served left = servedHere(7);
+TEST_CASE(
+    "an announced departure persists in the registry and in callers' pools, whatever the order of updates") {
+  Served ready = servedOnNode(8);
+  Served left = servedOnNode(7);
   SECTION("it drains") { left.draining = true; }
   SECTION("it signed off") { left.gone = true; }
   for (const bool leftFirst : {true, false}) {
-    INFO("the leaving is heard first: " << leftFirst);
+    INFO("departure received first: " << leftFirst);
     Registry registry;
     ServerPool pool("z", {"caller"}, 1);
-    for (const Served& told : leftFirst ? std::vector{left, ready} : std::vector{ready, left}) {
-      registry.told(told);
-      for (const News& news : registry.of({"desk"})) pool.told(0s, news.served, true);
+    for (const Served& record : leftFirst ? std::vector{left, ready} : std::vector{ready, left}) {
+      registry.update(record);
+      for (const ServerStatus& status : registry.serversOf({"desk"})) pool.update(0s, status.served, true);
     }
-    const std::vector<News> known = registry.of({"desk"});
+    const std::vector<ServerStatus> known = registry.serversOf({"desk"});
     REQUIRE(known.size() == 1);
     CHECK(known[0].served.draining == left.draining);
     CHECK(known[0].served.gone == left.gone);
@@ -95,41 +96,41 @@
   }
 }
 
-TEST_CASE(
-    "servers that ended with their machine are no candidates once their process is back with another one") {
+TEST_CASE("servers that ended with their machine are not picked once their sidecar reports a replacement") {
   constexpr std::size_t kMachines = 4;
   Registry registry;
   ServerPool pool("z", {"caller"}, 1);
-  const auto tellAll = [&](std::uint64_t life) {
+  const auto reportAll = [&](std::uint64_t life) {
     for (std::size_t machine = 0; machine < kMachines; ++machine) {
-      Served told = served("i" + std::to_string(machine) + "-" + std::to_string(life));
-      told.node = {"n" + std::to_string(machine)};
-      told.life = {life};
-      registry.told(told);
+      Served record = served("i" + std::to_string(machine) + "-" + std::to_string(life));
+      record.node = {"n" + std::to_string(machine)};
+      record.life = {life};
+      registry.update(record);
     }
-    for (const News& news : registry.of({"desk"})) pool.told(0s, news.served, true);
+    for (const ServerStatus& status : registry.serversOf({"desk"})) pool.update(0s, status.served, true);
   };
-  for (const std::uint64_t life : {1U, 2U, 3U}) tellAll(life);
-  CHECK(pool.standing({"desk"}) == kMachines);
+  for (const std::uint64_t life : {1U, 2U, 3U}) reportAll(life);
+  CHECK(pool.countUsable({"desk"}) == kMachines);
   for (int i = 0; i < 200; ++i) {
     const auto picked = pool.pick(1s, {"desk"}, false, {});
     REQUIRE(picked);
     CHECK(picked->id.value.ends_with("-3"));
-    pool.ended(1s, picked->id, Ending::served, std::nullopt);
+    pool.recordOutcome(1s, picked->id, ServerOutcome::succeeded, std::nullopt);
   }
 }
 
-TEST_CASE("that a process does not know its server is no doubt of the detector, and is asked again later") {
+TEST_CASE("a server that its sidecar does not know is not picked until a newer record or the backoff's end") {
   ServerPool pool("z", {"caller"}, 1);
-  for (const char* id : {"a", "b", "c", "d"}) pool.told(0s, served(id), true);
-  const auto unknown = [&](Span now, const InstanceId& id) {
-    while (pool.pick(now, {"desk"}, false, {})->id != id) pool.ended(now, id, Ending::full, std::nullopt);
-    pool.ended(now, id, Ending::strange, std::nullopt);
+  for (const char* id : {"a", "b", "c", "d"}) pool.update(0s, served(id), true);
+  const auto reportUnknown = [&](Span now, const InstanceId& id) {
+    while (pool.pick(now, {"desk"}, false, {})->id != id)
+      pool.recordOutcome(now, id, ServerOutcome::atCapacity, std::nullopt);
+    pool.recordOutcome(now, id, ServerOutcome::unknownServer, std::nullopt);
   };
-  for (const char* id : {"a", "b", "c"}) unknown(1s, {id});
+  for (const char* id : {"a", "b", "c"}) reportUnknown(1s, {id});
   for (int i = 0; i < 100; ++i) CHECK(pool.pick(2s, {"desk"}, false, {})->id == InstanceId{"d"});
-  // Other news of it, or a while later.
-  pool.told(2s, served("a", 2), true);
+  // A newer record makes server a eligible again, the end of the backoff all others.
+  pool.update(2s, served("a", 2), true);
   std::set<InstanceId> seen;
   for (int i = 0; i < 200; ++i) seen.insert(pool.pick(2s, {"desk"}, false, {})->id);
   CHECK(seen == std::set<InstanceId>{{"a"}, {"d"}});
--- a/tests/forwarding_test.cpp
+++ b/tests/forwarding_test.cpp
@@ -320,11 +320,11 @@
     VoterSet set;
     set.epoch = kEpoch;
     for (std::size_t voter = 0; voter < kVoters; ++voter) set.voters.push_back(voterOf(voter));
-    admission.claims().electorate(set);
-    admission.claims().reach(kVoters);
+    admission.claims().setVoters(set);
+    admission.claims().setReachableVoters(kVoters);
   }
-  static std::optional<Claims::Ended> vote(Admission& admission, std::size_t voter, ClaimNo claim,
-                                           bool granted, const Holder& holder) {
+  static std::optional<Claims::Outcome> vote(Admission& admission, std::size_t voter, ClaimNo claim,
+                                             bool granted, const Holder& holder) {
     return admission.claims().vote(voterOf(voter), kEpoch, claim, granted,
                                    granted ? std::nullopt : std::optional(holder));
   }
@@ -663,7 +663,7 @@
 
   void giveBack(std::size_t i, std::uint64_t life, std::size_t voter, const AdmissionAction& action) {
     in(inOrder(i, voter), [this, i, life, voter, key = action.key, claim = action.claim] {
-      voters_[voter].giveBack(key, holder(i, life, claim));
+      voters_[voter].release(key, holder(i, life, claim));
     });
   }
 
--- a/tests/mesh_fixtures.hpp
+++ b/tests/mesh_fixtures.hpp
@@ -53,8 +53,8 @@
   VoterSet voters;
   voters.epoch = {1};
   voters.voters = {voterId(0), voterId(1), voterId(2)};
-  made.claims().electorate(voters);
-  made.claims().reach(3);
+  made.claims().setVoters(voters);
+  made.claims().setReachableVoters(3);
   return made;
 }
 
@@ -76,7 +76,7 @@
       std::count_if(acts.begin(), acts.end(), [&](const auto& a) { return a.kind == kind; }));
 }
 
-inline Claims::Ended winClaim(Admission& admission, ClaimNo no) {
+inline Claims::Outcome winClaim(Admission& admission, ClaimNo no) {
   REQUIRE_FALSE(admission.claims().vote(voterId(0), {1}, no, true, std::nullopt));
   const auto ended = admission.claims().vote(voterId(1), {1}, no, true, std::nullopt);
   REQUIRE(ended);
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -138,12 +138,12 @@
 
 TEST_CASE("five failures in a row eject, up to half of the servers, and one trial re-admits") {
   ServerPool rack("z", {"n"}, 1);
-  for (const char* id : {"a", "b", "c", "d"}) rack.told(0s, served(id), true);
+  for (const char* id : {"a", "b", "c", "d"}) rack.update(0s, served(id), true);
   const auto failUntilOut = [&](const char* id) {
-    for (int i = 0; i < 5; ++i) rack.ended(1s, {id}, Ending::failed, std::nullopt);
+    for (int i = 0; i < 5; ++i) rack.recordOutcome(1s, {id}, ServerOutcome::failed, std::nullopt);
   };
   for (const char* id : {"a", "b", "c"}) failUntilOut(id);
-  CHECK(rack.ejected(1s, {"desk"}) == 2);
+  CHECK(rack.countEjected(1s, {"desk"}) == 2);
   for (int i = 0; i < 50; ++i) {
     const auto picked = rack.pick(2s, {"desk"}, false, {});
     REQUIRE(picked);
@@ -153,58 +153,58 @@
   std::set<InstanceId> others{{"b"}, {"c"}, {"d"}};
   CHECK(rack.pick(20s, {"desk"}, false, others));
   CHECK_FALSE(rack.pick(20s, {"desk"}, false, others));
-  rack.ended(20s, {"a"}, Ending::served, std::nullopt);
-  CHECK(rack.ejected(20s, {"desk"}) == 0);
+  rack.recordOutcome(20s, {"a"}, ServerOutcome::succeeded, std::nullopt);
+  CHECK(rack.countEjected(20s, {"desk"}) == 0);
   CHECK(rack.pick(20s, {"desk"}, false, others));
 }
 
 TEST_CASE("draining and sign-offs bind, silence of half the servers is doubted") {
   ServerPool rack("z", {"n"}, 1);
-  for (const char* id : {"a", "b", "c", "d"}) rack.told(0s, served(id), true);
+  for (const char* id : {"a", "b", "c", "d"}) rack.update(0s, served(id), true);
   Served leaving = served("a", 2);
   leaving.draining = true;
-  rack.told(1s, leaving, true);
-  rack.told(1s, served("a", 1), true);  // late news
+  rack.update(1s, leaving, true);
+  rack.update(1s, served("a", 1), true);  // late news
   const std::set<InstanceId> others{{"b"}, {"c"}, {"d"}};
   CHECK_FALSE(rack.pick(1s, {"desk"}, false, others));
   // One of three unheard is avoided; two of three are not believed.
-  rack.told(1s, served("b"), false);
+  rack.update(1s, served("b"), false);
   std::set<InstanceId> seen;
   for (int i = 0; i < 60; ++i) seen.insert(rack.pick(1s, {"desk"}, false, {})->id);
   CHECK(seen.count({"b"}) == 0);
-  rack.told(1s, served("c"), false);
+  rack.update(1s, served("c"), false);
   for (int i = 0; i < 60; ++i) seen.insert(rack.pick(1s, {"desk"}, false, {})->id);
   CHECK(seen.count({"b"}) == 1);
   // The process beside it starts anew and has heard a late beat: the server leaves all the same.
   Served anew = served("a", 1);
   anew.life = {2};
-  rack.told(2s, anew, true);
+  rack.update(2s, anew, true);
   CHECK_FALSE(rack.pick(2s, {"desk"}, false, others));
   // That process left and came back; that it found another server at the address was a guess.
   Served back = served("b", 2);
   back.replaced = true;
-  rack.told(2s, back, true);
+  rack.update(2s, back, true);
   CHECK_FALSE(rack.pick(2s, {"desk"}, false, {{"a"}, {"c"}, {"d"}}));
   back.replaced = false;
   back.seq = 3;
-  rack.told(2s, back, true);
+  rack.update(2s, back, true);
   CHECK(rack.pick(2s, {"desk"}, false, {{"a"}, {"c"}, {"d"}}));
 }
 
 TEST_CASE("the budgets of all processes together keep the fleet's allowance in every window") {
   std::mt19937_64 chance(11);
-  const Allowance all{0.2, 60, 10s};
+  const RetryAllowance all{0.2, 60, 10s};
   std::vector<RetryBudget> budgets(10);
-  for (RetryBudget& budget : budgets) budget.share(all, budgets.size());
+  for (RetryBudget& budget : budgets) budget.configure(all, budgets.size());
   std::vector<std::pair<Span, bool>> events;  // further or not
   for (Span now{}; now < 60s; now += 5ms) {
     RetryBudget& budget = budgets[chance() % budgets.size()];
     if (now < 40s || chance() % 20 == 0) {
-      budget.request(now);
+      budget.onRequest(now);
       events.emplace_back(now, false);
     }
     for (int i = 0; i < 3; ++i) {
-      if (budget.take(now)) events.emplace_back(now, true);
+      if (budget.tryTake(now)) events.emplace_back(now, true);
     }
   }
   std::size_t furtherInAll = 0;
@@ -318,14 +318,14 @@
   const AdmissionActions again = here.asked(800ms, {4}, ask(RouteKind::keyed), "k4");
   REQUIRE(countOf(again, AdmissionAction::Kind::claim) == 1);
   CHECK(here.tick(1300ms).back().told.wait >= 1s);
-  here.claims().reach(1);
+  here.claims().setReachableVoters(1);
   const AdmissionActions alone = here.asked(5s, {3}, ask(RouteKind::keyed), "k3");
   CHECK(alone.back().told.verdict == Verdict::voteless);
   CHECK(alone.back().told.wait >= 1s);
-  here.claims().reach(3);
+  here.claims().setReachableVoters(3);
   const AdmissionActions back = here.asked(6s, {5}, ask(RouteKind::keyed), "k5");
   here.claimEnded(6s, winClaim(here, back[0].claim));
-  CHECK(here.claims().comeBack(6s) < 500ms);
+  CHECK(here.claims().retryAfter(6s) < 500ms);
 }
 
 TEST_CASE(
--- a/tests/promise_journal_test.cpp
+++ b/tests/promise_journal_test.cpp
@@ -26,7 +26,7 @@
 using Disk = std::map<std::string, std::string>;
 using Change = PromiseJournal::Change;
 
-KeyPrint keyNo(std::uint64_t no) { return printOfKey("key " + std::to_string(no)); }
+KeyHash keyNo(std::uint64_t no) { return hashOfKey("key " + std::to_string(no)); }
 
 Holder holderNo(std::uint64_t no, std::uint64_t sidecar = 1) {
   return {{"100.64.0." + std::to_string(sidecar) + ":20000"}, {1'764'653'029'000'000 + sidecar}, {no}};
@@ -81,7 +81,7 @@
   std::mt19937 draw(11);
   const auto below = [&](std::uint64_t end) { return draw() % end; };
   Disk disk;
-  std::map<KeyPrint, std::map<Holder, Span>> model;  // when promised, by the uptime of the present life
+  std::map<KeyHash, std::map<Holder, Span>> model;  // when promised, by the uptime of the present life
   auto life = std::make_unique<Life>(disk);
   std::uint64_t lastClaim = 0;
   std::size_t restored = 0;
@@ -90,11 +90,11 @@
     life->uptime += std::chrono::milliseconds(below(below(50) == 0 ? 20'000 : 200));
     std::vector<Change> changes;
     for (std::uint64_t i = below(6); i > 0; --i) {
-      const KeyPrint key = keyNo(below(300));
+      const KeyHash key = keyNo(below(300));
       auto& holders = model[key];
       if (below(3) == 0 && !holders.empty()) {
         const Holder holder = holders.begin()->first;
-        REQUIRE(life->promises.giveBack(key, holder));
+        REQUIRE(life->promises.release(key, holder));
         holders.erase(holder);
         changes.push_back({key, holder, true});
       } else if (below(5) == 0) {
@@ -112,7 +112,7 @@
     }
     if (!changes.empty()) write(disk, {life->journal.record(life->uptime, changes)});
     write(disk, life->journal.expire(life->uptime, kKeep));
-    for (const KeyPrint& key : life->promises.expire(life->uptime)) {
+    for (const KeyHash& key : life->promises.expire(life->uptime)) {
       for (const auto& [holder, at] : model[key]) REQUIRE(at + kKeep <= life->uptime);
       model[key].clear();
       ++ended;
@@ -121,8 +121,9 @@
     const Span before = life->uptime;
     life = std::make_unique<Life>(disk);
     REQUIRE(life->uptime <= before);
-    std::map<KeyPrint, std::map<Holder, Span>> held;
-    life->promises.each([&](const KeyPrint& key, const Holder& holder, Span at) { held[key][holder] = at; });
+    std::map<KeyHash, std::map<Holder, Span>> held;
+    life->promises.forEach(
+        [&](const KeyHash& key, const Holder& holder, Span at) { held[key][holder] = at; });
     for (const auto& [key, holders] : model) {
       for (const auto& [holder, at] : holders) {
         if (at + kKeep <= before) continue;  // over, and held only because the key has others
@@ -185,7 +186,7 @@
   {
     Life life(disk);
     REQUIRE(life.promises.holders(keyNo(1)) == std::vector{holderNo(1)});
-    CHECK(life.promises.giveBack(keyNo(1), holderNo(1)));
+    CHECK(life.promises.release(keyNo(1), holderNo(1)));
     write(disk, {life.journal.record(10s, {{keyNo(1), holderNo(1), true}})});
   }
   Life life(disk);
@@ -286,7 +287,7 @@
       Promises promises(kKeep);
       for (const auto& [key, value] : all) {
         const json promise = json::parse(value);
-        promises.learn(Span(promise.at(3).get<std::int64_t>()), *printFrom(std::string_view(key).substr(2)),
+        promises.learn(Span(promise.at(3).get<std::int64_t>()), *keyHashFrom(std::string_view(key).substr(2)),
                        holderFrom(promise));
       }
       REQUIRE(promises.all().size() == count);
@@ -329,7 +330,7 @@
     const double beforeTime = secondsOf([&] {
       for (const auto& [key, value] : before) {
         const json promise = json::parse(value);
-        promises.learn(Span(promise.at(3).get<std::int64_t>()), *printFrom(std::string_view(key).substr(2)),
+        promises.learn(Span(promise.at(3).get<std::int64_t>()), *keyHashFrom(std::string_view(key).substr(2)),
                        holderFrom(promise));
       }
     });
--- a/tests/sidecar_control_client_test.cpp
+++ b/tests/sidecar_control_client_test.cpp
@@ -343,8 +343,8 @@
   const auto taken = [&](const ControlClientActions& acts, const Address& at) {
     std::size_t count = 0;
     for (const auto& [to, update] : sentIn<ServersUpdate>(acts)) {
-      for (const News& news : update.servers)
-        count += to == at && !registry.told(news.served).empty() ? 1 : 0;
+      for (const ServerStatus& news : update.servers)
+        count += to == at && !registry.update(news.served).empty() ? 1 : 0;
     }
     return count;
   };
@@ -364,9 +364,9 @@
   SECTION("told of the earlier life, it goes on in the next one, and adopts what that one served") {
     welcome.highestLife = {500};
     tell(here, 0s, {"v0"}, welcome);
-    const News known{registry.on({"s"}).at(0).served, true};
+    const ServerStatus known{registry.serversOn({"s"}).at(0).served, true};
     CHECK(taken(tell(here, 0s, {"v0"}, ServersUpdate{{known}}).control, {"v0"}) == 1);
-    CHECK(registry.on({"s"}).at(0).served.life == LifeNo{501});
+    CHECK(registry.serversOn({"s"}).at(0).served.life == LifeNo{501});
     // Its own life, as the control process now knows it, is no reason to go on to another.
     welcome.highestLife = {501};
     CHECK(taken(tell(here, 1s, {"v0"}, welcome).control, {"v0"}) == 0);
@@ -376,7 +376,7 @@
     REQUIRE(here.admission().servers().empty());
     here.reached(62s, {"v0"});
     for (const std::uint64_t life : {100U, 300U, 501U}) {
-      News own = known;
+      ServerStatus own = known;
       own.served.life = {life};
       tell(here, 62s, {"v0"}, ServersUpdate{{own}});
       CHECK(here.admission().servers().empty());
