--- a/src/mesh/balancing/server_pool.cpp
+++ b/src/mesh/balancing/server_pool.cpp
@@ -250,15 +250,15 @@
 
 void ServerPool::sweep(Span now) {
   for (auto& [service, group] : groups_) {
-    for (auto at = group.begin(); at != group.end();) {
-      const Server& server = at->second;
+    for (auto it = group.begin(); it != group.end();) {
+      const Server& server = it->second;
       const bool expired = server.record.gone || server.record.replaced ||
                            (!server.connected && server.connectionChangedAt + kDisconnectedRetention < now);
       if (expired && server.inFlight == 0) {
-        serviceOf_.erase(at->first);
-        at = group.erase(at);
+        serviceOf_.erase(it->first);
+        it = group.erase(it);
       } else {
-        ++at;
+        ++it;
       }
     }
   }
--- a/src/mesh/claims/claims.cpp
+++ b/src/mesh/claims/claims.cpp
@@ -63,10 +63,10 @@
 
 std::vector<Claims::Outcome> Claims::expire(Span now) {
   std::vector<Outcome> ended;
-  for (auto at = open_.begin(); at != open_.end();) {
-    const Claim& claim = at->second;
+  for (auto it = open_.begin(); it != open_.end();) {
+    const Claim& claim = it->second;
     if (claim.until > now && quorumReachable()) {
-      ++at;
+      ++it;
       continue;
     }
     // New requests fail fast for a while instead of each waiting for votes of unresponsive voters.
@@ -74,8 +74,8 @@
       suspendedUntil_ = now + kUndecidedBackoff;
       undecidedSince_ = std::min(undecidedSince_, now);
     }
-    ended.push_back({at->first, false, mostNamedHolder(claim.named)});
-    at = open_.erase(at);
+    ended.push_back({it->first, false, mostNamedHolder(claim.named)});
+    it = open_.erase(it);
   }
   return ended;
 }
--- a/src/mesh/control/control_node_messages.cpp
+++ b/src/mesh/control/control_node_messages.cpp
@@ -237,21 +237,21 @@
 // not decided when it began and must not delay it while changes keep coming. The same applies to voter sets,
 // which contain no configuration.
 void ControlNode::answerReads(Span now, ControlActions& actions) {
-  for (auto at = waitingReads_.begin(); at != waitingReads_.end();) {
-    std::vector<AcceptedOrder> undecided = agreement_.stillAccepted(at->changes);
-    if (!undecided.empty() && now < at->until) {
-      ++at;
+  for (auto it = waitingReads_.begin(); it != waitingReads_.end();) {
+    std::vector<AcceptedOrder> undecided = agreement_.stillAccepted(it->changes);
+    if (!undecided.empty() && now < it->until) {
+      ++it;
       continue;
     }
     ReadReply reply;
-    reply.read = at->request.read;
-    reply.epoch = at->request.epoch;
+    reply.read = it->request.read;
+    reply.epoch = it->request.epoch;
     reply.voter = self_;
     reply.digest = items_.digest();
     reply.accepted = std::move(undecided);
-    const bool mayAnswer = mayVote() && at->request.epoch == membership_.set().epoch;
-    if (mayAnswer) send(Envelope{at->from, std::move(reply)}, actions);
-    at = waitingReads_.erase(at);
+    const bool mayAnswer = mayVote() && it->request.epoch == membership_.set().epoch;
+    if (mayAnswer) send(Envelope{it->from, std::move(reply)}, actions);
+    it = waitingReads_.erase(it);
   }
 }
 
--- a/src/mesh/control/control_node_state.cpp
+++ b/src/mesh/control/control_node_state.cpp
@@ -73,13 +73,13 @@
 }
 
 void ControlNode::answerConfirmed(ControlActions& actions) {
-  for (auto at = confirmed_.begin(); at != confirmed_.end();) {
-    if (at->read > reads_.finished()) {
-      ++at;
+  for (auto it = confirmed_.begin(); it != confirmed_.end();) {
+    if (it->read > reads_.finished()) {
+      ++it;
       continue;
     }
-    sendItems(at->session, at->versions, 0, true, actions);
-    at = confirmed_.erase(at);
+    sendItems(it->session, it->versions, 0, true, actions);
+    it = confirmed_.erase(it);
   }
 }
 
--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -54,10 +54,10 @@
         perform(node_->writeCompleted(loop_.now(), {batch}, done));
       });
     });
-    sessionConnections_.emplace(loop_, meshAddress({settings.ip + ":0"}, settings.firstPort),
-                                [this](Poco::Net::StreamSocket socket, std::string peer) {
-                                  acceptSession(std::move(socket), std::move(peer));
-                                });
+    sessionListener_.emplace(loop_, meshAddress({settings.ip + ":0"}, settings.firstPort),
+                             [this](Poco::Net::StreamSocket socket, std::string peer) {
+                               acceptSession(std::move(socket), std::move(peer));
+                             });
     if (!settings.control.value.empty()) listenToOperators(settings.control);
     signals_.on(SIGTERM, [this] { stop(); });
     signals_.on(SIGINT, [this] { stop(); });
@@ -123,7 +123,7 @@
                                                          : node_->readBack(loop_.now(), no));
     };
     shared_->left = [](HttpServerConnection&) {};
-    operators_.emplace(loop_, at, [this](Poco::Net::StreamSocket socket, std::string peer) {
+    operatorListener_.emplace(loop_, at, [this](Poco::Net::StreamSocket socket, std::string peer) {
       std::make_shared<HttpServerConnection>(loop_, shared_, std::move(socket), std::move(peer))->start();
     });
   }
@@ -250,8 +250,8 @@
   sidecar::Signals signals_;
   ControlNode::Options options_;
   std::optional<ControlNode> node_;
-  std::optional<Listener> sessionConnections_;
-  std::optional<Listener> operators_;
+  std::optional<Listener> sessionListener_;
+  std::optional<Listener> operatorListener_;
   std::shared_ptr<HttpServerConnection::Shared> shared_;
   std::map<SessionNo, std::shared_ptr<SessionConnection>> sessions_;
   std::map<OperatorCallNo, std::shared_ptr<HttpServerConnection>> calls_;
--- a/src/mesh/control/operator_calls.cpp
+++ b/src/mesh/control/operator_calls.cpp
@@ -83,40 +83,40 @@
 }
 
 void OperatorCalls::advance(Span now, Effects& effects, ControlActions& actions) {
-  for (auto at = calls_.begin(); at != calls_.end();) {
-    Call& pending = at->second;
-    const OperatorCallNo call = at->first;
+  for (auto it = calls_.begin(); it != calls_.end();) {
+    Call& pending = it->second;
+    const OperatorCallNo call = it->first;
     if (pending.read == 0 || pending.read > reads_.finished()) {
-      ++at;
+      ++it;
       continue;
     }
     if (pending.readsBack) {
       answer(call, 200, items_.standing().dump(), actions);
-      at = calls_.erase(at);
+      it = calls_.erase(it);
       continue;
     }
     if (const auto unknown = unknownService(*pending.order)) {
       answer(call, 400, errorBody("change: a route names an unknown service: " + *unknown), actions);
-      at = calls_.erase(at);
+      it = calls_.erase(it);
       continue;
     }
     propose(now, call, pending, effects);
-    ++at;
+    ++it;
   }
 }
 
 void OperatorCalls::tick(Span now, bool settled, ControlActions& actions) {
-  for (auto at = calls_.begin(); at != calls_.end();) {
-    const bool late = at->second.until <= now;
+  for (auto it = calls_.begin(); it != calls_.end();) {
+    const bool late = it->second.until <= now;
     if (settled && !late) {
-      ++at;
+      ++it;
       continue;
     }
     const char* const error =
         late ? "no majority of voters answered in time" : "lost contact with a majority of voters";
-    answer(at->first, 503, errorBody(error), actions, kRetryAfter);
-    agreement_.forgetCall(at->first.value);
-    at = calls_.erase(at);
+    answer(it->first, 503, errorBody(error), actions, kRetryAfter);
+    agreement_.forgetCall(it->first.value);
+    it = calls_.erase(it);
   }
 }
 
--- a/src/mesh/control/peer_sessions.cpp
+++ b/src/mesh/control/peer_sessions.cpp
@@ -153,18 +153,18 @@
 
 std::vector<Address> PeerSessions::dueDials(Span now) {
   std::vector<Address> due;
-  for (auto at = known_.begin(); at != known_.end();) {
-    const bool up = dialled_.count(at->first) > 0;
-    if (!up && !permanent(at->first) && at->second.unreachedSince + kForgetAfter <= now) {
-      at = known_.erase(at);
+  for (auto it = known_.begin(); it != known_.end();) {
+    const bool up = dialled_.count(it->first) > 0;
+    if (!up && !permanent(it->first) && it->second.unreachedSince + kForgetAfter <= now) {
+      it = known_.erase(it);
       continue;
     }
-    if (!up && at->second.nextDial <= now) {
-      at->second.nextDial = now + kDialTimeout;
-      at->second.dialling = true;
-      due.push_back(at->first);
+    if (!up && it->second.nextDial <= now) {
+      it->second.nextDial = now + kDialTimeout;
+      it->second.dialling = true;
+      due.push_back(it->first);
     }
-    ++at;
+    ++it;
   }
   return due;
 }
--- a/src/mesh/registry/registry.cpp
+++ b/src/mesh/registry/registry.cpp
@@ -112,19 +112,19 @@
 
 std::vector<InstanceId> Registry::sweep(Span now) {
   std::vector<InstanceId> departed;
-  for (auto at = members_.begin(); at != members_.end();) {
-    const bool expired = !isConnected(at->second) && at->second.lastChanged + kDisconnectedRetention < now;
-    at = expired ? members_.erase(at) : std::next(at);
+  for (auto it = members_.begin(); it != members_.end();) {
+    const bool expired = !isConnected(it->second) && it->second.lastChanged + kDisconnectedRetention < now;
+    it = expired ? members_.erase(it) : std::next(it);
   }
-  for (auto at = servers_.begin(); at != servers_.end();) {
-    const Served& server = at->second;
+  for (auto it = servers_.begin(); it != servers_.end();) {
+    const Served& server = it->second;
     bool expired = members_.count(server.node) == 0;
     // A departure outlives the member: the sidecar may restart without knowledge of it.
     if (server.draining || server.gone || server.replaced)
-      expired = departedSince_.try_emplace(at->first, now).first->second + kDepartureRetention < now;
-    if (expired && (server.draining || server.gone)) departed.push_back(at->first);
-    if (expired) departedSince_.erase(at->first);
-    at = expired ? servers_.erase(at) : std::next(at);
+      expired = departedSince_.try_emplace(it->first, now).first->second + kDepartureRetention < now;
+    if (expired && (server.draining || server.gone)) departed.push_back(it->first);
+    if (expired) departedSince_.erase(it->first);
+    it = expired ? servers_.erase(it) : std::next(it);
   }
   return departed;
 }
