--- a/src/mesh/control/message_reader.hpp
+++ b/src/mesh/control/message_reader.hpp
@@ -108,9 +108,9 @@
     require(bytes.has_value(), "is not valid base64");
     to = *std::move(bytes);
   }
-  static void get(const json& from, KeyPrint& to) {
+  static void get(const json& from, KeyHash& to) {
     requireString(from);
-    const auto hash = printFrom(from.get_ref<const std::string&>());
+    const auto hash = keyHashFrom(from.get_ref<const std::string&>());
     require(hash.has_value(), "is not a key hash");
     to = *hash;
   }
@@ -149,7 +149,7 @@
     require(!items.empty(), "is an empty order");
     to = makeOrder(std::move(items));
   }
-  static void get(const json& from, News& to) {
+  static void get(const json& from, ServerStatus& to) {
     requireArray(from, kNewsFieldCount);
     for (std::size_t text = 0; text < 5; ++text) requireString(from[text]);
     for (std::size_t number = 5; number < 7; ++number) {
@@ -161,7 +161,7 @@
     unsignedFrom(from[8], kMaxNewsFlags);
     const std::int64_t coldLeft = signedFrom(from[9]);
     require(coldLeft >= -kMaxColdTimeMs && coldLeft <= kMaxColdTimeMs, "has a cold time out of range");
-    to = newsFrom(from);
+    to = serverStatusFrom(from);
   }
   template <class Tag, class Value>
   static void get(const json& from, Id<Tag, Value>& to) {
--- a/src/mesh/control/message_writer.hpp
+++ b/src/mesh/control/message_writer.hpp
@@ -26,10 +26,10 @@
   /// Invalid UTF-8 in names is replaced, as the receiver could not parse it.
   void put(const json& value) { text_ += value.dump(-1, ' ', false, json::error_handler_t::replace); }
   void put(const std::vector<std::uint8_t>& bytes) { text_ += '"' + toBase64(bytes) + '"'; }
-  void put(const KeyPrint& hash) { text_ += '"' + textOf(hash) + '"'; }
+  void put(const KeyHash& hash) { text_ += '"' + textOf(hash) + '"'; }
   void put(const ItemKey& key) { put(textOf(key)); }
   void put(const Item& item) { text_ += wireOf(item); }
-  void put(const News& news) { put(toJson(news)); }
+  void put(const ServerStatus& news) { put(toJson(news)); }
   void put(const OrderPtr& order) { put(order->items); }
   template <class Tag, class Value>
   void put(const Id<Tag, Value>& id) {
--- a/src/mesh/control/messages.hpp
+++ b/src/mesh/control/messages.hpp
@@ -199,11 +199,11 @@
 struct RegistryUpdate {  // exchanged between control processes
   /// Sidecars known to the sender, and whether their sessions are up.
   std::vector<std::pair<NodeName, bool>> nodes;
-  std::vector<News> servers;
+  std::vector<ServerStatus> servers;
   std::vector<InstanceId> replaced = {};  // used by the codec only: replaced ones among `servers`
 };
 struct ServersUpdate {  // exchanged between a control process and a sidecar in both directions
-  std::vector<News> servers;
+  std::vector<ServerStatus> servers;
   std::vector<InstanceId> replaced = {};  // used by the codec only: replaced ones among `servers`
   /// Sent by a sidecar if not 0: the number is returned as `recorded` once the departures reported for these
   /// servers are on disk. Earlier versions send neither field.
@@ -221,11 +221,11 @@
 struct ClaimRequest {
   Epoch epoch;  // current epoch of the claimer; a voter in another epoch does not vote
   Address at;   // address of the claimer
-  std::vector<std::pair<ClaimNo, KeyPrint>> claims;
+  std::vector<std::pair<ClaimNo, KeyHash>> claims;
 };
 struct ReleaseRequest {  // the claimed operations never ran and never will
   Address at;
-  std::vector<std::pair<ClaimNo, KeyPrint>> claims;
+  std::vector<std::pair<ClaimNo, KeyHash>> claims;
 };
 /// A voter's answer to one claim.
 struct Vote {
