--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -80,7 +80,7 @@
 
 // A process that is told to end answers what it has read; a request that crosses its end is not read.
 void ProcessClients::judgeEnd(std::uint32_t machine, std::uint64_t attempt, Span sentAt, RequestOutcome how) {
-  const bool cut = how == RequestOutcome::broken && context_.now() > sentAt + kCrosses;
+  const bool cut = how == RequestOutcome::connectionLost && context_.now() > sentAt + kCrosses;
   if (!cut || disturbedAt_(machine) + kQuietBefore > sentAt) return;
   context_.judge.failed(context_.now(), "LOST",
                         "attempt " + std::to_string(attempt) + " at " + context_.machines.nameOf(machine) +
@@ -98,7 +98,7 @@
     if (!answer.body().empty()) mixed("a failure has bytes that no server sent with it");
     return;
   }
-  if (numberIn(answer, kAttempt, 16) != attempt) mixed("it got another's answer");
+  if (numberIn(answer, kAttemptIdHeader, 16) != attempt) mixed("it got another's answer");
   const ProcessServers::Run* run = servers_.runOf(seal.value_or(0));
   if (run == nullptr) return mixed("its answer has no run");
   if (wanted.key.empty() && run->attempt != attempt) mixed("its answer is another attempt's run");
--- a/src/lab/mesh/process_operators.hpp
+++ b/src/lab/mesh/process_operators.hpp
@@ -25,7 +25,7 @@
  private:
   void patch(std::uint32_t control, const std::string& body, const std::function<void(std::uint32_t)>& done);
   void call(const std::string& method, std::uint32_t control, const std::string& body,
-            rackroute::mesh::HttpClient::Done done);
+            rackroute::mesh::HttpClient::Callback done);
 
   ProcessContext& context_;
   OperatorBook table_;
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -38,9 +38,9 @@
 void ProcessServers::open(std::uint32_t machine) {
   Server& server = servers_[machine];
   server.shared = std::make_shared<HttpServerConnection::Shared>();
-  server.shared->left = [](HttpServerConnection&) {};
-  server.shared->asked = [this, machine](const ConnectionRef& connection,
-                                         const std::shared_ptr<const http::Message>& request) {
+  server.shared->onAbandoned = [](HttpServerConnection&) {};
+  server.shared->onRequest = [this, machine](const ConnectionRef& connection,
+                                             const std::shared_ptr<const http::Message>& request) {
     serve(machine, connection, *request);
   };
   server.listener = std::make_unique<Listener>(
@@ -97,7 +97,7 @@
       [this, machine, life, drains](RequestOutcome how, const std::shared_ptr<const http::Message>& answer) {
         Server& then = servers_.at(machine);
         if (then.lives != life || !drains || then.drainAcked >= Span{0}) return;
-        if (how != RequestOutcome::answered || answer->status() / 100 != 2) return;
+        if (how != RequestOutcome::completed || answer->status() / 100 != 2) return;
         then.drainAcked = context_.now();
         context_.loop.in(kDrain + 500ms, [this, machine, life] { signOff(machine, life); });
       });
@@ -116,26 +116,26 @@
 void ProcessServers::serve(std::uint32_t machine, const ConnectionRef& connection,
                            const http::Message& request) {
   Server& server = servers_.at(machine);
-  const auto attempt = numberIn(request, kAttempt, 16);
-  const auto left = numberIn(request, kDeadline, 10);
+  const auto attempt = numberIn(request, kAttemptIdHeader, 16);
+  const auto left = numberIn(request, kDeadlineHeader, 10);
   const std::string fields(kNotRunField);
-  if (!attempt) return connection->answer(400, fields, "");
+  if (!attempt) return connection->respond(400, fields, "");
   const std::string named = fields + "Rackroute-Attempt-Id: " + attemptText(*attempt) + "\r\n";
-  const auto expects = request.field(kExpect);
+  const auto expects = request.field(kExpectInstanceHeader);
   if (!server.up) return connection->end(sidecar::Reason::cut);
-  if (expects && *expects != server.id) return connection->answer(421, named, "");
+  if (expects && *expects != server.id) return connection->respond(421, named, "");
   checkUnchanged(*attempt, request);
   context_.judge.arrived(context_.now(), *attempt, context_.machines.serviceOf(machine));
-  const Work asked{*attempt, request.field(kOperation).has_value(),
+  const Work asked{*attempt, request.field(kOperationKeyHeader).has_value(),
                    context_.now() + std::chrono::milliseconds(left.value_or(10'000))};
   if (server.busy < context_.day.slots) {
     ++server.busy;
     return work(machine, connection, asked);
   }
-  if (server.queue.size() >= 4 * context_.day.slots) return connection->answer(503, named, "");
+  if (server.queue.size() >= 4 * context_.day.slots) return connection->respond(503, named, "");
   server.queue.push_back([this, machine, connection, asked, named] {
     if (context_.now() < asked.giveUp) return work(machine, connection, asked);
-    connection->answer(503, named, "");
+    connection->respond(503, named, "");
     --servers_.at(machine).busy;
   });
 }
@@ -144,7 +144,7 @@
   const auto broken = [&](const std::string& what) {
     context_.judge.failed(context_.now(), "UNASKED", "attempt " + std::to_string(attempt) + ": " + what);
   };
-  const auto caller = request.field(kCaller);
+  const auto caller = request.field(kCallerServiceHeader);
   if (!caller || *caller != serviceName(callerOf_(attempt)))
     broken("its caller's service is told as " + std::string(caller.value_or("none")));
   const bool pure = request.word(0) == "GET";
@@ -183,15 +183,15 @@
     next();
   }
   const std::string named = "Rackroute-Attempt-Id: " + attemptText(asked.attempt) + "\r\n";
-  if (!inTime) return connection->answer(504, named, "");
+  if (!inTime) return connection->respond(504, named, "");
   if (luck < server.loses) return connection->end(sidecar::Reason::cut);
   const bool spoilt = luck < server.loses + server.spoils;
   if (spoilt && luck < server.loses + server.spoils / 2)
-    return connection->answer(200, "Rackroute-Attempt-Id: 0\r\nConnection: close\r\n", "other");
+    return connection->respond(200, "Rackroute-Attempt-Id: 0\r\nConnection: close\r\n", "other");
   const std::string fields = named + std::string(kSeal) + ": " + std::to_string(seal) + "\r\n";
   const std::string body = bodyOf(asked.attempt, seal);
   if (seal % kUnframedEach == 0) return answerUntilClose(connection, fields, body);
-  connection->answer(200, fields, body);
+  connection->respond(200, fields, body);
   if (!spoilt || connection->ended()) return;
   // A surplus answer, late, in the place of the next one.
   http::Gather surplus;
--- a/src/lab/mesh/world_departures.cpp
+++ b/src/lab/mesh/world_departures.cpp
@@ -14,7 +14,7 @@
   const auto found = here.attemptOf.find(call);
   if (found == here.attemptOf.end() || open_.erase(found->second) == 0) return;
   judge_.left(now_, found->second);
-  act(machine, here.sidecar->abandoned(now_, {call}));
+  act(machine, here.sidecar->requestAbandoned(now_, {call}));
 }
 
 void World::cancelForward(std::size_t machine, const RoutingAction& act) {
--- a/src/lab/mesh/world_network.cpp
+++ b/src/lab/mesh/world_network.cpp
@@ -9,7 +9,7 @@
     if (machines_[from].core) {
       act(from, core(from).control->unreached(now_, to));
     } else {
-      act(from, side(from).sidecar->ended(now_, to));
+      act(from, side(from).sidecar->sessionClosed(now_, to));
     }
     static_cast<void>(lifeA);
   };
@@ -37,7 +37,7 @@
         act(from, core(from).control->reached(now_, {link->noA}, to));
       } else {
         dialled_[from][to.value] = link;
-        act(from, side(from).sidecar->reached(now_, to));
+        act(from, side(from).sidecar->sessionOpened(now_, to));
       }
     });
   });
@@ -71,7 +71,7 @@
   if (machines_[machine].core) {
     act(machine, core(machine).control->heard(now_, {link->a == machine ? link->noA : link->noB}, word));
   } else {
-    act(machine, side(machine).sidecar->heard(now_, {address(link->b)}, word));
+    act(machine, side(machine).sidecar->handleMessage(now_, {address(link->b)}, word));
     took(machine, word);
   }
 }
@@ -100,7 +100,7 @@
     const auto found = all.find(address(link->b));
     if (found == all.end() || found->second != link) return;
     all.erase(found);
-    act(machine, side(machine).sidecar->ended(now_, {address(link->b)}));
+    act(machine, side(machine).sidecar->sessionClosed(now_, {address(link->b)}));
   }
 }
 
--- a/src/lab/mesh/world_processes.cpp
+++ b/src/lab/mesh/world_processes.cpp
@@ -72,7 +72,7 @@
   // As the program does it.
   const LifeNo life{static_cast<std::uint64_t>(wall(machine).count())};
   Side& here = side(machine);
-  Sidecar::Built built;
+  Sidecar::Config built;
   built.router.node = {m.name};
   built.router.zone = "z" + std::to_string(m.zone);
   built.router.service = {serviceName(here.server.service)};
@@ -217,7 +217,7 @@
   for (const ControlClientAction& act : acts.control) {
     auto& all = dialled_[machine];
     const auto link = all.find(act.at.value);
-    if (act.kind == ControlClientAction::Kind::say) {
+    if (act.kind == ControlClientAction::Kind::send) {
       if (link != all.end()) send(link->second, true, *act.text);
     } else if (act.kind == ControlClientAction::Kind::dial) {
       dial(machine, act.at);
--- a/src/lab/mesh/world_requests.cpp
+++ b/src/lab/mesh/world_requests.cpp
@@ -58,7 +58,7 @@
     told.host = kHost;
     told.path = asked.prefix;
     told.patience = deadline - now_;
-    act(machine, here.sidecar->asked(now_, {call}, told));
+    act(machine, here.sidecar->requestReceived(now_, {call}, told));
     mayLeave(machine, call, deadline);
   });
 }
@@ -96,7 +96,7 @@
                          ForwardResult how, const ForwardReply& told, std::uint32_t status,
                          std::shared_ptr<const void> bytes) {
     this->act(machine,
-              side(machine).sidecar->forwarded(now_, call, sent, how, told, status, std::move(bytes)));
+              side(machine).sidecar->forwardCompleted(now_, call, sent, how, told, status, std::move(bytes)));
   };
   const auto target = machineAt(act.at.value);
   const Span until = now_ + act.ask.left + 2 * kSpare;
@@ -143,17 +143,17 @@
                         if (isCut(to, machine))
                           return finish(now_ + kUnread, ForwardResult::broken, {}, 0, nullptr);
                         // As bytes: what the header can't carry must not be known at the other end.
-                        const auto read = toldFrom(rackroute::mesh::textOf(told));
+                        const auto read = parseForwardReply(rackroute::mesh::textOf(told));
                         finish(now_ + delay(to, machine), read ? ForwardResult::told : ForwardResult::broken,
                                read.value_or(ForwardReply{}), status, bytes);
                       }};
-    const auto heardAsk = askFrom(rackroute::mesh::textOf(act.ask));
+    const auto heardAsk = parseForwardRequest(rackroute::mesh::textOf(act.ask));
     std::optional<std::string> key;
     if (act.ask.kind == RouteKind::keyed) {
       const auto open = keyOf_.find(attempt);
       if (open != keyOf_.end()) key = open->second;
     }
-    this->act(to, there.sidecar->forwardRequested(now_, {no}, *heardAsk, key));
+    this->act(to, there.sidecar->forwardReceived(now_, {no}, *heardAsk, key));
   });
 }
 
@@ -163,8 +163,9 @@
   const std::uint64_t life = machines_[machine].life;
   const std::uint64_t attempt = here.asks.at(act.ask.value).attempt;
   const auto ends = [this, machine, life, ask = act.ask](Span when, AtServer how, ServerAnswer answer) {
-    atProcess(when, machine, life,
-              [=, this] { this->act(machine, side(machine).sidecar->ran(now_, ask, how, answer)); });
+    atProcess(when, machine, life, [=, this] {
+      this->act(machine, side(machine).sidecar->executionEnded(now_, ask, how, answer));
+    });
   };
   if (!server.up) return ends(now_ + 100us, AtServer::notSent, {});
   const Span until = now_ + act.left + kSpare;
--- a/src/lab/mesh/world_servers.cpp
+++ b/src/lab/mesh/world_servers.cpp
@@ -53,7 +53,7 @@
   Side& here = side(machine);
   const ServerCallNo no{++here.nextServerCall};
   here.serverCalls[no] = {serverLife, told.draining || told.gone};
-  act(machine, here.sidecar->beat(now_, no, told));
+  act(machine, here.sidecar->serverCalled(now_, no, told));
 }
 
 void World::answered(std::size_t machine, const ServerCallAnswer& answer) {
--- a/src/lab/mesh/world_troubles.cpp
+++ b/src/lab/mesh/world_troubles.cpp
@@ -130,14 +130,14 @@
   Machine& m = machines_[sidecar];
   if (m.life == 0 || m.leaving) return then();
   m.leaving = true;
-  act(sidecar, side(sidecar).sidecar->leave(now_));
+  act(sidecar, side(sidecar).sidecar->startDrain(now_));
   stopped(sidecar, m.life, now_, then);
 }
 
 void World::stopped(std::size_t sidecar, std::uint64_t life, Span since, const std::function<void()>& then) {
   const Machine& m = machines_[sidecar];
   if (m.life != life) return then();
-  const bool quiet = side(sidecar).sidecar->atWork() == 0 && m.lastAsked + kQuiet <= now_;
+  const bool quiet = side(sidecar).sidecar->inFlight() == 0 && m.lastAsked + kQuiet <= now_;
   if ((!quiet || now_ < since + kStillComing) && now_ < since + kGrace - kBeforeKill)
     return in(kLook, [this, sidecar, life, since, then] { stopped(sidecar, life, since, then); });
   kill(sidecar, false);
--- a/src/mesh/admission/admission.cpp
+++ b/src/mesh/admission/admission.cpp
@@ -127,8 +127,8 @@
 
 void Admission::turnAwayAll(Span now, Server& server, AdmissionActions& acts) {
   while (!server.waiting.empty()) {
-    const AskNo no = server.waiting.front();
-    refuse(now, no, Verdict::leaving, &server, acts);
+    const InboundRequestId no = server.waiting.front();
+    refuse(now, no, Verdict::draining, &server, acts);
   }
 }
 
@@ -198,14 +198,14 @@
 
 Span Admission::waitAhead(const Server& server) const {
   double ahead = server.meanRun;
-  for (const AskNo no : server.waiting) ahead += jobs_.at(no).length;
+  for (const InboundRequestId no : server.waiting) ahead += jobs_.at(no).length;
   return spanOf(ahead / room(server));
 }
 
 double Admission::lengthOf(const ForwardRequest& ask) const {
   const auto known = lengths_.find(ask.route);
   if (known != lengths_.end()) return known->second;
-  return std::max(0.01, std::chrono::duration<double>(ask.aim).count() * kUnseenPart);
+  return std::max(0.01, std::chrono::duration<double>(ask.targetLeft).count() * kUnseenPart);
 }
 
 ForwardReply Admission::toldOf(Span now, Verdict verdict, const Server* server) const {
@@ -215,11 +215,11 @@
     told.load = Load{server->busy, static_cast<std::uint32_t>(server->waiting.size())};
     told.wait = waitAhead(*server);
   }
-  if (verdict == Verdict::voteless) told.wait = claims_.comeBack(now);
+  if (verdict == Verdict::noQuorum) told.wait = claims_.comeBack(now);
   return told;
 }
 
-AdmissionActions Admission::asked(Span now, AskNo no, const ForwardRequest& ask,
+AdmissionActions Admission::asked(Span now, InboundRequestId no, const ForwardRequest& ask,
                                   const std::optional<std::string>& key) {
   AdmissionActions acts;
   const auto answer = [&](ForwardReply told, std::shared_ptr<const void> bytes = nullptr) {
@@ -235,8 +235,8 @@
     print = printOfKey(*key);
     const auto past = operations_.find(*print);
     if (past != operations_.end()) {
-      ForwardReply told = toldOf(now, Verdict::ran, here);
-      told.repeated = true;
+      ForwardReply told = toldOf(now, Verdict::executed, here);
+      told.replayed = true;
       switch (past->second.past) {
         case Past::answered:
           answer(told, past->second.bytes);
@@ -254,26 +254,26 @@
     if (ask.holder) {
       // The claim it asks after: of this life it was given back, of an earlier one nobody knows.
       ForwardReply told =
-          toldOf(now, *ask.holder == built_.life ? Verdict::voteless : Verdict::unknown, here);
+          toldOf(now, *ask.holder == built_.life ? Verdict::noQuorum : Verdict::unknown, here);
       answer(told);
       return acts;
     }
   }
   if (here == nullptr || here->told.service != ask.service) {
-    answer(toldOf(now, Verdict::strange, nullptr));
+    answer(toldOf(now, Verdict::unknownServer, nullptr));
     return acts;
   }
   Server& server = found->second;
   if (!open(now, server)) {
-    answer(toldOf(now, Verdict::leaving, &server));
+    answer(toldOf(now, Verdict::draining, &server));
     return acts;
   }
   if (print && !claims_.hopeful(now)) {
-    answer(toldOf(now, Verdict::voteless, &server));
+    answer(toldOf(now, Verdict::noQuorum, &server));
     return acts;
   }
   if (ask.left < kLeastLeft) {
-    answer(toldOf(now, Verdict::full, &server));
+    answer(toldOf(now, Verdict::overloaded, &server));
     return acts;
   }
   Job job;
@@ -283,12 +283,12 @@
   job.key = print;
   const Span patience =
       std::min(ask.left - tellBack(ask.left),
-               std::max<Span>(kLeastWait, std::chrono::duration_cast<Span>(ask.aim * kWaitPart)));
+               std::max<Span>(kLeastWait, std::chrono::duration_cast<Span>(ask.targetLeft * kWaitPart)));
   job.startBy = now + patience;
   job.length = lengthOf(ask);
   // What is worth most for the time that it holds a slot goes first (Smith's rule): quick checks that other
   // work waits for are not starved by long look-ups of the same rank. The rank's worth falls as its inverse.
-  const bool late = std::chrono::duration<double>(ask.aim).count() < job.length;
+  const bool late = std::chrono::duration<double>(ask.targetLeft).count() < job.length;
   job.value = (late ? kLateValue : 1) / (1.0 + ask.priority) / std::max(job.length, 0.001);
   if (print) {
     Operation operation;
@@ -298,7 +298,7 @@
   }
   Job& kept = jobs_.emplace(no, std::move(job)).first->second;
   if (!fits(now, kept, server)) {
-    refuse(now, no, Verdict::full, &server, acts);
+    refuse(now, no, Verdict::overloaded, &server, acts);
   } else if (print) {
     claim(now, kept, acts);
   } else {
@@ -312,7 +312,7 @@
 bool Admission::fits(Span now, const Job& job, const Server& server) const {
   if (server.busy < room(server) && server.waiting.empty()) return true;
   double ahead = server.meanRun;
-  for (const AskNo other : server.waiting) {
+  for (const InboundRequestId other : server.waiting) {
     if (jobs_.at(other).value < job.value) break;
     ahead += jobs_.at(other).length;
   }
@@ -327,12 +327,12 @@
   }
   job.stage = Stage::waiting;
   const auto place = std::find_if(server.waiting.begin(), server.waiting.end(),
-                                  [&](AskNo other) { return jobs_.at(other).value < job.value; });
+                                  [&](InboundRequestId other) { return jobs_.at(other).value < job.value; });
   server.waiting.insert(place, job.no);
   // Whoever cannot be started in time, seen from its place, goes at once and not when its time is over.
   double ahead = server.meanRun;
-  std::vector<AskNo> tooLate;
-  for (const AskNo waiting : server.waiting) {
+  std::vector<InboundRequestId> tooLate;
+  for (const InboundRequestId waiting : server.waiting) {
     const Job& other = jobs_.at(waiting);
     if (now + spanOf(ahead / room(server)) > other.startBy) {
       tooLate.push_back(waiting);
@@ -340,12 +340,12 @@
       ahead += other.length;
     }
   }
-  for (const AskNo waiting : tooLate) refuse(now, waiting, Verdict::full, &server, acts);
+  for (const InboundRequestId waiting : tooLate) refuse(now, waiting, Verdict::overloaded, &server, acts);
 }
 
 // A job that surely never ran ends with a verdict that says so.
-void Admission::refuse(Span now, AskNo no, Verdict verdict, const Server* server, AdmissionActions& acts,
-                       std::optional<Holder> holder) {
+void Admission::refuse(Span now, InboundRequestId no, Verdict verdict, const Server* server,
+                       AdmissionActions& acts, std::optional<Holder> holder) {
   const auto found = jobs_.find(no);
   if (found == jobs_.end()) return;
   const Job job = found->second;
@@ -399,7 +399,7 @@
   AdmissionActions acts;
   const auto found = claiming_.find(ended.no);
   if (found == claiming_.end()) return acts;
-  const AskNo no = found->second;
+  const InboundRequestId no = found->second;
   claiming_.erase(found);
   Job& job = jobs_.at(no);
   const auto at = servers_.find(job.ask.instance);
@@ -409,14 +409,16 @@
     admit(now, job, *server, acts);
   } else {
     // It never ran here and never will: whatever was promised to it is given back.
-    const Verdict verdict = ended.won ? Verdict::leaving : ended.holder ? Verdict::held : Verdict::voteless;
+    const Verdict verdict = ended.won      ? Verdict::draining
+                            : ended.holder ? Verdict::keyClaimed
+                                           : Verdict::noQuorum;
     refuse(now, no, verdict, server, acts, ended.won ? std::nullopt : ended.holder);
   }
   check();
   return acts;
 }
 
-AdmissionActions Admission::ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer) {
+AdmissionActions Admission::ran(Span now, InboundRequestId no, AtServer how, const ServerAnswer& answer) {
   AdmissionActions acts;
   const auto found = jobs_.find(no);
   if (found == jobs_.end()) return acts;
@@ -425,7 +427,8 @@
   Server* server = at == servers_.end() ? nullptr : &at->second;
   const bool sure = how == AtServer::notSent || (how == AtServer::answered && answer.notRun);
   if (sure) {
-    refuse(now, no, how == AtServer::notSent ? Verdict::unreachable : Verdict::turnedAway, server, acts);
+    refuse(now, no, how == AtServer::notSent ? Verdict::unreachable : Verdict::rejectedByServer, server,
+           acts);
     // Another server answered: the one that was meant is no more.
     if (server != nullptr && how == AtServer::answered && answer.status == kNotThatServer)
       over(now, *server, acts);
@@ -439,7 +442,7 @@
       length += kRunShare * (seconds - length);
     }
     AdmissionAction act{AdmissionAction::Kind::answer, no};
-    act.told = toldOf(now, how == AtServer::answered ? Verdict::ran : Verdict::unknown, server);
+    act.told = toldOf(now, how == AtServer::answered ? Verdict::executed : Verdict::unknown, server);
     act.bytes = how == AtServer::answered ? answer.bytes : nullptr;
     act.size = how == AtServer::answered ? answer.size : 0;
     acts.push_back(std::move(act));
@@ -452,7 +455,7 @@
 }
 
 // Guards against servers that work, and room that is held, for nobody.
-AdmissionActions Admission::abandoned(Span now, AskNo no) {
+AdmissionActions Admission::abandoned(Span now, InboundRequestId no) {
   AdmissionActions acts;
   const auto found = jobs_.find(no);
   if (found == jobs_.end() || found->second.key) return acts;
@@ -460,7 +463,7 @@
   const auto at = servers_.find(job.ask.instance);
   Server* server = at == servers_.end() ? nullptr : &at->second;
   if (job.stage == Stage::waiting) {
-    refuse(now, no, Verdict::full, server, acts);
+    refuse(now, no, Verdict::overloaded, server, acts);
   } else if (job.ask.kind == RouteKind::pure) {
     acts.push_back({AdmissionAction::Kind::cancel, no});
     AdmissionAction act{AdmissionAction::Kind::answer, no};
@@ -488,8 +491,8 @@
   }
   for (const auto& [no, until] : std::exchange(operation.waiters, {})) {
     AdmissionAction act{AdmissionAction::Kind::answer, no};
-    act.told = toldOf(now, past == Past::answered ? Verdict::ran : Verdict::unknown, nullptr);
-    act.told.repeated = true;
+    act.told = toldOf(now, past == Past::answered ? Verdict::executed : Verdict::unknown, nullptr);
+    act.told.replayed = true;
     act.bytes = operation.bytes;
     acts.push_back(std::move(act));
   }
@@ -511,7 +514,7 @@
   if (found == operations_.end()) return;
   for (const auto& [no, until] : found->second.waiters) {
     AdmissionAction act{AdmissionAction::Kind::answer, no};
-    act.told = toldOf(now, Verdict::voteless, nullptr);
+    act.told = toldOf(now, Verdict::noQuorum, nullptr);
     acts.push_back(std::move(act));
   }
   operations_.erase(found);
@@ -519,10 +522,10 @@
 
 void Admission::next(Span now, Server& server, AdmissionActions& acts) {
   while (server.busy < room(server) && !server.waiting.empty()) {
-    const AskNo no = server.waiting.front();
+    const InboundRequestId no = server.waiting.front();
     Job& job = jobs_.at(no);
     if (!open(now, server) || job.deadline - now < kLeastLeft) {
-      refuse(now, no, Verdict::leaving, &server, acts);
+      refuse(now, no, Verdict::draining, &server, acts);
       continue;
     }
     server.waiting.pop_front();
@@ -538,10 +541,11 @@
     acts.insert(acts.end(), more.begin(), more.end());
   }
   for (auto& [id, server] : servers_) {
-    const std::deque<AskNo> waiting = server.waiting;
-    for (const AskNo no : waiting) {
-      const Verdict verdict = open(now, server) ? Verdict::full : Verdict::leaving;
-      if (verdict == Verdict::leaving || jobs_.at(no).startBy <= now) refuse(now, no, verdict, &server, acts);
+    const std::deque<InboundRequestId> waiting = server.waiting;
+    for (const InboundRequestId no : waiting) {
+      const Verdict verdict = open(now, server) ? Verdict::overloaded : Verdict::draining;
+      if (verdict == Verdict::draining || jobs_.at(no).startBy <= now)
+        refuse(now, no, verdict, &server, acts);
     }
   }
   for (auto at = awaited_.begin(); at != awaited_.end();) {
@@ -555,7 +559,7 @@
     for (const auto& [no, until] : waiters) {
       if (until > now) continue;
       AdmissionAction act{AdmissionAction::Kind::answer, no};
-      act.told = toldOf(now, Verdict::atWork, nullptr);
+      act.told = toldOf(now, Verdict::inProgress, nullptr);
       acts.push_back(std::move(act));
     }
     waiters.erase(
@@ -585,7 +589,7 @@
   std::optional<Span> next = claims_.nextEnd();
   const auto earlier = [&](Span at) { next = std::min(next.value_or(at), at); };
   for (const auto& [id, server] : servers_) {
-    for (const AskNo no : server.waiting) earlier(jobs_.at(no).startBy);
+    for (const InboundRequestId no : server.waiting) earlier(jobs_.at(no).startBy);
   }
   for (const KeyPrint& key : awaited_) {
     const auto found = operations_.find(key);
--- a/src/mesh/admission/admission.hpp
+++ b/src/mesh/admission/admission.hpp
@@ -50,7 +50,7 @@
 struct AdmissionAction {
   enum class Kind { run, answer, claim, giveBack, tell, cancel };
   Kind kind = Kind::run;
-  AskNo ask;
+  InboundRequestId ask;
   Address server{};                     // run
   InstanceId instance{};                // run
   ServiceName caller{};                 // run
@@ -89,14 +89,14 @@
   /// holders of claims stays as it was: there it only tells one life from another.
   AdmissionActions followLife(LifeNo highest);
   /// A request from another process; key: of its operation, if its route is keyed.
-  AdmissionActions asked(Span now, AskNo no, const ForwardRequest& ask,
+  AdmissionActions asked(Span now, InboundRequestId no, const ForwardRequest& ask,
                          const std::optional<std::string>& key);
   AdmissionActions claimEnded(Span now, const Claims::Ended& ended);
-  AdmissionActions ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer);
+  AdmissionActions ran(Span now, InboundRequestId no, AtServer how, const ServerAnswer& answer);
   /// The connection that the request came on has ended: its caller left, or the way broke. One that waits is
   /// turned away; one at work is cancelled if it may be repeated; a keyed one goes on, as a repeat may want
   /// its answer.
-  AdmissionActions abandoned(Span now, AskNo no);
+  AdmissionActions abandoned(Span now, InboundRequestId no);
   AdmissionActions tick(Span now);
   /// When tick() is to be called at the latest; none: whenever.
   [[nodiscard]] std::optional<Span> nextTick() const;
@@ -116,13 +116,13 @@
     Span drainsSince = Span::max();  // that far back, if it drained when it was first heard of here
     Span coldUntil{};
     std::uint32_t busy = 0;
-    std::deque<AskNo> waiting;  // the most worth for a slot's time first, then as they came
-    double meanRun = 0.2;       // seconds
+    std::deque<InboundRequestId> waiting;  // the most worth for a slot's time first, then as they came
+    double meanRun = 0.2;                  // seconds
     Span lastBeat{};
   };
   enum class Stage { claiming, waiting, running };
   struct Job {
-    AskNo no;
+    InboundRequestId no;
     ForwardRequest ask;
     Span deadline{};
     Span startBy{};
@@ -137,11 +137,11 @@
   struct Operation {
     Past past = Past::working;
     ClaimNo claim;
-    AskNo by;
+    InboundRequestId by;
     std::shared_ptr<const void> bytes;
     std::size_t size = 0;
     Span at{};
-    std::vector<std::pair<AskNo, Span>> waiters;  // and when each gives up
+    std::vector<std::pair<InboundRequestId, Span>> waiters;  // and when each gives up
   };
 
   [[nodiscard]] bool fits(Span now, const Job& job, const Server& server) const;
@@ -158,12 +158,12 @@
   void claim(Span now, Job& job, AdmissionActions& acts);
   void run(Span now, Job& job, Server& server, AdmissionActions& acts);
   void next(Span now, Server& server, AdmissionActions& acts);
-  void refuse(Span now, AskNo no, Verdict verdict, const Server* server, AdmissionActions& acts,
+  void refuse(Span now, InboundRequestId no, Verdict verdict, const Server* server, AdmissionActions& acts,
               std::optional<Holder> holder = {});
   void endOperation(Span now, const KeyPrint& key, Past past, const ServerAnswer& answer,
                     AdmissionActions& acts);
   void forgetOperation(Span now, const KeyPrint& key, AdmissionActions& acts);
-  void settle(Span now, AskNo no, AdmissionActions& acts);
+  void settle(Span now, InboundRequestId no, AdmissionActions& acts);
   [[nodiscard]] bool open(Span now, const Server& server) const;
   [[nodiscard]] Span waitAhead(const Server& server) const;
   [[nodiscard]] double lengthOf(const ForwardRequest& ask) const;
@@ -176,8 +176,8 @@
   std::map<InstanceId, Server> servers_;
   std::map<InstanceId, Served> departed_;   // of this machine, as others tell; they have not called here
   std::deque<InstanceId> departedInOrder_;  // as they became known
-  std::map<AskNo, Job> jobs_;
-  std::map<ClaimNo, AskNo> claiming_;
+  std::map<InboundRequestId, Job> jobs_;
+  std::map<ClaimNo, InboundRequestId> claiming_;
   std::unordered_map<KeyPrint, Operation, HashKeyPrint> operations_;
   std::map<std::string, double> lengths_;        // seconds, by route
   std::set<KeyPrint> awaited_;                   // operations at work that repeats may wait for
--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -17,7 +17,7 @@
 #include "mesh/configuration/duration_text.hpp"
 #include "mesh/control/control_node.hpp"
 #include "mesh/storage/store.hpp"
-#include "mesh/transport/calls.hpp"
+#include "mesh/transport/api_endpoints.hpp"
 #include "mesh/transport/event_loop.hpp"
 #include "mesh/transport/http_server_connection.hpp"
 #include "mesh/transport/listener.hpp"
@@ -107,21 +107,22 @@
 
   void listenToOperators(const Address& at) {
     shared_ = std::make_shared<HttpServerConnection::Shared>();
-    for (const CallRow& row : kCalls) {
-      if (row.by == CallBy::core) shared_->mostBody = std::max(shared_->mostBody, row.mostBytes);
+    for (const ApiEndpoint& row : kApiEndpoints) {
+      if (row.role == MachineRole::core)
+        shared_->maxBodyBytes = std::max(shared_->maxBodyBytes, row.maxBodyBytes);
     }
-    shared_->asked = [this](const std::shared_ptr<HttpServerConnection>& connection,
-                            std::shared_ptr<const http::Message> request) {
+    shared_->onRequest = [this](const std::shared_ptr<HttpServerConnection>& connection,
+                                std::shared_ptr<const http::Message> request) {
       bool known = false;
       const auto called =
-          findCall(CallSocket::control, CallBy::core, request->word(0), request->word(1), known);
-      if (!called) return connection->answer(known ? 405 : 404, "", "");
+          findApiEndpoint(ApiListener::control, MachineRole::core, request->word(0), request->word(1), known);
+      if (!called) return connection->respond(known ? 405 : 404, "", "");
       const OperatorCallNo no{++lastCall_};
       calls_[no] = connection;
-      act(called->row->kind == CallKind::changeItems ? node_->change(loop_.now(), no, request->body())
-                                                     : node_->readBack(loop_.now(), no));
+      act(called->endpoint->kind == ApiCall::changeItems ? node_->change(loop_.now(), no, request->body())
+                                                         : node_->readBack(loop_.now(), no));
     };
-    shared_->left = [](HttpServerConnection&) {};
+    shared_->onAbandoned = [](HttpServerConnection&) {};
     operators_.emplace(loop_, at, [this](Poco::Net::StreamSocket socket, std::string peer) {
       std::make_shared<HttpServerConnection>(loop_, shared_, std::move(socket), std::move(peer))->start();
     });
@@ -135,7 +136,7 @@
     session->accepted(endsOf(no, [this, no] { act(node_->came(loop_.now(), no)); }));
   }
 
-  SessionConnection::Ends endsOf(SessionNo no, std::function<void()> up) {
+  SessionConnection::Callbacks endsOf(SessionNo no, std::function<void()> up) {
     return {std::move(up), [this, no](const json& word) { act(node_->heard(loop_.now(), no, word)); },
             [this, no] { node_->alive(loop_.now(), no); },
             [this, no] {
@@ -150,11 +151,11 @@
         std::make_shared<SessionConnection>(loop_, compressor_, Poco::Net::StreamSocket(), at.value);
     sessions_[no] = session;
     const auto up = std::make_shared<bool>(false);
-    SessionConnection::Ends ends = endsOf(no, [this, no, at, up] {
+    SessionConnection::Callbacks ends = endsOf(no, [this, no, at, up] {
       *up = true;
       act(node_->reached(loop_.now(), no, at));
     });
-    ends.over = [this, no, at, up] {
+    ends.onClosed = [this, no, at, up] {
       sessions_.erase(no);
       act(*up ? node_->ended(loop_.now(), no) : node_->unreached(loop_.now(), at));
     };
@@ -166,7 +167,7 @@
       switch (act.kind) {
         case ControlAction::Kind::say:
           if (const auto found = sessions_.find(act.session); found != sessions_.end())
-            found->second->say(act.text);
+            found->second->sendMessage(act.text);
           break;
         case ControlAction::Kind::dial:
           dial(act.at);
@@ -188,7 +189,7 @@
             if (act.status >= 400) log(LogLevel::info, "change", "", act.body, {{"status", act.status}});
             std::string fields = "Content-Type: application/json\r\n";
             if (act.retryAfter > Span{0}) fields += "Retry-After: " + writeSeconds(act.retryAfter) + "\r\n";
-            found->second->answer(act.status, fields, act.body);
+            found->second->respond(act.status, fields, act.body);
             calls_.erase(found);
           }
           break;
@@ -234,7 +235,7 @@
   }
 
   void stop() {
-    if (shared_) shared_->closing = true;
+    if (shared_) shared_->draining = true;
     loop_.in(kLastWords, [this] { loop_.stop(); });
   }
 
--- a/src/mesh/forwarding/forward_counts.hpp
+++ b/src/mesh/forwarding/forward_counts.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// Counts forwards by how they ended, for the log: what other processes were told here, and what they told. It
-// decides nothing.
+// Counts forwards by verdict, for periodic log lines.
 
 #include <array>
 #include <cstdint>
@@ -15,7 +14,7 @@
 class ForwardCounts {
  public:
   void count(Verdict verdict) { ++counts_[static_cast<std::size_t>(verdict)]; }
-  /// The counts since the last call, by verdict, without those that are 0; null: all are.
+  /// Returns the nonzero counts by verdict since the last call, or null if there are none, and resets them.
   nlohmann::json take() {
     nlohmann::json taken;
     for (std::size_t i = 0; i < counts_.size(); ++i) {
@@ -26,7 +25,7 @@
   }
 
  private:
-  std::array<std::uint64_t, kVerdicts> counts_{};
+  std::array<std::uint64_t, kVerdictCount> counts_{};
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/forwarding/forward_outcomes.cpp
+++ b/src/mesh/forwarding/forward_outcomes.cpp
@@ -6,12 +6,13 @@
 namespace rackroute::mesh {
 namespace {
 
-// Between two calls no more than this counts as time awake; tick() comes more often in a process that runs.
-constexpr Span kLongestStep = std::chrono::seconds(1);
+// The most that the time between two calls counts as active time; tick() is called more often than this
+// unless the process is suspended.
+constexpr Span kMaxStep = std::chrono::seconds(1);
 
-ForwardOutcomes::Arrival answerOf(Verdict verdict) {
+ForwardOutcomes::Arrival respondWith(Verdict verdict) {
   ForwardOutcomes::Arrival arrival;
-  arrival.kind = ForwardOutcomes::Arrival::Kind::answer;
+  arrival.kind = ForwardOutcomes::Arrival::Kind::respond;
   arrival.reply.verdict = verdict;
   return arrival;
 }
@@ -19,109 +20,113 @@
 }  // namespace
 
 void ForwardOutcomes::advance(Span now) {
-  awake_ += std::clamp(now - seen_, Span{0}, kLongestStep);
-  seen_ = now;
+  activeTime_ += std::clamp(now - lastCall_, Span{0}, kMaxStep);
+  lastCall_ = now;
 }
 
-ForwardOutcomes::Arrival ForwardOutcomes::arrived(Span now, AskNo no, const ForwardRequest& request) {
+ForwardOutcomes::Arrival ForwardOutcomes::receive(Span now, InboundRequestId requestId,
+                                                  const ForwardRequest& request) {
   advance(now);
-  if (request.outcomeOf) return request.id ? outcome(no, request) : answerOf(Verdict::unknown);
+  if (request.outcomeQuery) return request.id ? query(requestId, request) : respondWith(Verdict::unknown);
   if (!request.id) return {};
-  return admitted(no, *request.id);
+  return admit(requestId, *request.id);
 }
 
-ForwardOutcomes::Arrival ForwardOutcomes::admitted(AskNo no, const ForwardId& id) {
+ForwardOutcomes::Arrival ForwardOutcomes::admit(InboundRequestId requestId, const ForwardId& id) {
   const auto [found, added] = records_.try_emplace(id);
   if (added) {
-    atWork_[no.value] = id;
+    inProgress_[requestId.value] = id;
     return {};
   }
-  // Guards against a request that was read after its caller was told that it had not come; and against any
-  // that comes twice.
-  return answerOf(found->second.state == State::fenced ? Verdict::neverCame : Verdict::unknown);
+  // A request that arrives after its caller was told that it was not received must not be executed, nor may
+  // any request be executed twice.
+  return respondWith(found->second.state == State::fenced ? Verdict::notReceived : Verdict::unknown);
 }
 
-ForwardOutcomes::Arrival ForwardOutcomes::outcome(AskNo no, const ForwardRequest& request) {
-  // What an earlier life had received died with its memory, and its server may have run it.
-  if (*request.outcomeOf != life_) return answerOf(Verdict::unknown);
+ForwardOutcomes::Arrival ForwardOutcomes::query(InboundRequestId requestId, const ForwardRequest& request) {
+  // The records of an earlier process life are lost, and its server may have executed the request.
+  if (*request.outcomeQuery != life_) return respondWith(Verdict::unknown);
   const auto found = records_.find(*request.id);
   if (found == records_.end()) return fence(*request.id);
   Record& record = found->second;
-  if (record.state == State::fenced) return answerOf(Verdict::neverCame);
-  if (record.state == State::atWork) {
-    if (record.waiters.size() >= limits_.waiters) return answerOf(Verdict::unknown);
-    record.waiters.push_back(no);
+  if (record.state == State::fenced) return respondWith(Verdict::notReceived);
+  if (record.state == State::inProgress) {
+    if (record.waiters.size() >= limits_.maxWaiters) return respondWith(Verdict::unknown);
+    record.waiters.push_back(requestId);
     Arrival arrival;
     arrival.kind = Arrival::Kind::wait;
     return arrival;
   }
-  if (record.reply.verdict == Verdict::ran && !record.bytes) return answerOf(Verdict::unknown);
-  Arrival arrival = answerOf(record.reply.verdict);
+  if (record.reply.verdict == Verdict::executed && !record.bytes) return respondWith(Verdict::unknown);
+  Arrival arrival = respondWith(record.reply.verdict);
   arrival.reply = record.reply;
   arrival.bytes = record.bytes;
   return arrival;
 }
 
 ForwardOutcomes::Arrival ForwardOutcomes::fence(const ForwardId& id) {
-  if (awake_ < gapUntil_ || fenced_.size() >= limits_.fenced) return answerOf(Verdict::unknown);
+  if (activeTime_ < unreliableUntil_ || fenced_.size() >= limits_.maxFenced)
+    return respondWith(Verdict::unknown);
   records_[id].state = State::fenced;
-  fenced_.emplace_back(awake_, id);
-  return answerOf(Verdict::neverCame);
+  fenced_.emplace_back(activeTime_, id);
+  return respondWith(Verdict::notReceived);
 }
 
-std::vector<AskNo> ForwardOutcomes::ended(Span now, AskNo no, const ForwardReply& reply,
-                                          std::shared_ptr<const void> bytes, std::size_t size) {
+std::vector<InboundRequestId> ForwardOutcomes::complete(Span now, InboundRequestId requestId,
+                                                        const ForwardReply& reply,
+                                                        std::shared_ptr<const void> bytes, std::size_t size) {
   advance(now);
-  const auto working = atWork_.find(no.value);
-  if (working == atWork_.end()) return {};
-  const ForwardId id = working->second;
-  atWork_.erase(working);
+  const auto current = inProgress_.find(requestId.value);
+  if (current == inProgress_.end()) return {};
+  const ForwardId id = current->second;
+  inProgress_.erase(current);
   Record& record = records_.at(id);
-  record.state = State::ended;
+  record.state = State::completed;
   record.reply = reply;
-  ended_.emplace_back(awake_, id);
+  completed_.emplace_back(activeTime_, id);
   if (bytes) {
     record.bytes = std::move(bytes);
     record.size = size;
-    answerBytes_ += size;
-    withBytes_.emplace_back(awake_, id);
+    responseBytes_ += size;
+    withResponse_.emplace_back(activeTime_, id);
   }
-  std::vector<AskNo> waiters = std::exchange(record.waiters, {});
-  // Guards against answers that eat the memory: the oldest go first; who asks is told that nobody knows.
-  while (answerBytes_ > limits_.answerBytes) {
-    const auto oldest = records_.find(withBytes_.front().second);
-    withBytes_.pop_front();
-    if (oldest != records_.end()) dropBytes(oldest->second);
+  std::vector<InboundRequestId> waiters = std::exchange(record.waiters, {});
+  // Bounds the memory for responses by dropping the oldest; queries for those get `unknown`.
+  while (responseBytes_ > limits_.maxResponseBytes) {
+    const auto oldest = records_.find(withResponse_.front().second);
+    withResponse_.pop_front();
+    if (oldest != records_.end()) dropResponse(oldest->second);
   }
-  if (ended_.size() > limits_.ended) {
-    gapUntil_ = awake_ + limits_.remembered;
-    forgetOldestEnded();
+  if (completed_.size() > limits_.maxCompleted) {
+    unreliableUntil_ = activeTime_ + limits_.completedRetention;
+    forgetOldestCompleted();
   }
   return waiters;
 }
 
-void ForwardOutcomes::dropBytes(Record& record) {
-  answerBytes_ -= std::exchange(record.size, 0);
+void ForwardOutcomes::dropResponse(Record& record) {
+  responseBytes_ -= std::exchange(record.size, 0);
   record.bytes.reset();
 }
 
-void ForwardOutcomes::forgetOldestEnded() {
-  const auto found = records_.find(ended_.front().second);
-  ended_.pop_front();
+void ForwardOutcomes::forgetOldestCompleted() {
+  const auto found = records_.find(completed_.front().second);
+  completed_.pop_front();
   if (found == records_.end()) return;
-  dropBytes(found->second);
+  dropResponse(found->second);
   records_.erase(found);
 }
 
 void ForwardOutcomes::tick(Span now) {
   advance(now);
-  while (!withBytes_.empty() && withBytes_.front().first + limits_.answerKept <= awake_) {
-    const auto found = records_.find(withBytes_.front().second);
-    withBytes_.pop_front();
-    if (found != records_.end()) dropBytes(found->second);
+  while (!withResponse_.empty() && withResponse_.front().first + limits_.responseRetention <= activeTime_) {
+    const auto found = records_.find(withResponse_.front().second);
+    withResponse_.pop_front();
+    if (found != records_.end()) dropResponse(found->second);
   }
-  while (!ended_.empty() && ended_.front().first + limits_.remembered <= awake_) forgetOldestEnded();
-  while (!fenced_.empty() && fenced_.front().first + limits_.fenceKept <= awake_) {
+  while (!completed_.empty() && completed_.front().first + limits_.completedRetention <= activeTime_)
+    forgetOldestCompleted();
+  while (!fenced_.empty() && fenced_.front().first + limits_.fenceRetention <= activeTime_) {
     records_.erase(fenced_.front().second);
     fenced_.pop_front();
   }
--- a/src/mesh/forwarding/forward_outcomes.hpp
+++ b/src/mesh/forwarding/forward_outcomes.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-// What became of the forwards that this sidecar received: kept so that a caller whose connection broke may
-// ask whether its request came, and what of it. A request that had not come when it was asked after is turned
-// away for good should it come late. No I/O, no clock; sizes and times are bounded. It must never say that a
-// forward did not come when it may have been admitted, in this life.
+// Outcomes of the forwards that this sidecar received, kept so that a caller whose connection broke can query
+// whether its request arrived and how it ended. A forward that has not arrived when it is queried is fenced:
+// it is rejected if it arrives later. A state machine without I/O or clock, bounded in size and time.
+// Invariant: a forward that this process may have admitted is never reported as not received.
 
 #include <cstdint>
 #include <deque>
@@ -20,41 +20,42 @@
 class ForwardOutcomes {
  public:
   struct Limits {
-    std::size_t ended = 20'000;                  // forwards remembered after their end
-    std::size_t fenced = 5'000;                  // forwards to be turned away
-    std::size_t waiters = 4;                     // questions that wait for one forward
-    std::size_t answerBytes = 8U << 20;          // of answers kept for questions, all together
-    Span remembered = std::chrono::seconds(20);  // after a forward's end; see kOutcomeTrust
-    Span answerKept = std::chrono::seconds(2);   // a broken connection is noticed far sooner
-    Span fenceKept = std::chrono::seconds(60);   // far longer than unread bytes lie in a socket
+    std::size_t maxCompleted = 20'000;                   // completed forwards kept
+    std::size_t maxFenced = 5'000;                       // forwards to be rejected on arrival
+    std::size_t maxWaiters = 4;                          // queries waiting for one forward
+    std::size_t maxResponseBytes = 8U << 20;             // total size of the responses kept for queries
+    Span completedRetention = std::chrono::seconds(20);  // see kOutcomeQueryWindow
+    Span responseRetention = std::chrono::seconds(2);    // longer than it takes to notice a lost connection
+    Span fenceRetention = std::chrono::seconds(60);      // longer than unread bytes can stay in a socket
   };
-  /// What to do with a forward, or a question after one, that came.
+  /// How to handle a received forward or outcome query.
   struct Arrival {
-    enum class Kind { admit, answer, wait };
+    enum class Kind { admit, respond, wait };
     Kind kind = Kind::admit;
-    ForwardReply reply{};                 // answer
-    std::shared_ptr<const void> bytes{};  // answer: the server's, if there is one
+    ForwardReply reply{};                 // respond
+    std::shared_ptr<const void> bytes{};  // respond: the server's response, if any
   };
 
   ForwardOutcomes(LifeNo life, const Limits& limits) : life_(life), limits_(limits) {}
 
-  /// A forward or a question came; admit: it is to be asked of Admission, wait: ended() will name it.
-  Arrival arrived(Span now, AskNo no, const ForwardRequest& request);
-  /// A forward was answered; returns the questions that waited for this and get the same answer.
-  /// size: of the answer's bytes, as memory.
-  std::vector<AskNo> ended(Span now, AskNo no, const ForwardReply& reply, std::shared_ptr<const void> bytes,
-                           std::size_t size);
-  /// Forgets what is over. To be called at least once a second: time in which it is not called, as in a
-  /// frozen process, does not count, since late forwards wait unread just as long.
+  /// Handles a received forward or outcome query. admit: pass it to Admission; wait: complete() returns its
+  /// ID once the queried forward has completed.
+  Arrival receive(Span now, InboundRequestId requestId, const ForwardRequest& request);
+  /// Records the response to a forward; returns the queries that waited for it and get the same response.
+  /// size: memory used by the response.
+  std::vector<InboundRequestId> complete(Span now, InboundRequestId requestId, const ForwardReply& reply,
+                                         std::shared_ptr<const void> bytes, std::size_t size);
+  /// Removes expired records. Must be called at least once a second: time without calls, as in a suspended
+  /// process, does not count towards expiry, because delayed forwards stay unread just as long.
   void tick(Span now);
-  [[nodiscard]] std::size_t remembered() const { return records_.size(); }
-  [[nodiscard]] std::size_t answerBytes() const { return answerBytes_; }
+  [[nodiscard]] std::size_t size() const { return records_.size(); }
+  [[nodiscard]] std::size_t responseBytes() const { return responseBytes_; }
 
  private:
-  enum class State { atWork, ended, fenced };
+  enum class State { inProgress, completed, fenced };
   struct Record {
-    State state = State::atWork;
-    std::vector<AskNo> waiters;
+    State state = State::inProgress;
+    std::vector<InboundRequestId> waiters;
     ForwardReply reply;
     std::shared_ptr<const void> bytes;
     std::size_t size = 0;
@@ -64,26 +65,26 @@
       return id.origin ^ (id.number * 0x9e3779b97f4a7c15U);
     }
   };
-  using Order = std::deque<std::pair<Span, ForwardId>>;  // by time awake
+  using Queue = std::deque<std::pair<Span, ForwardId>>;  // oldest first, by active time
 
-  Arrival admitted(AskNo no, const ForwardId& id);
-  Arrival outcome(AskNo no, const ForwardRequest& request);
+  Arrival admit(InboundRequestId requestId, const ForwardId& id);
+  Arrival query(InboundRequestId requestId, const ForwardRequest& request);
   Arrival fence(const ForwardId& id);
-  void dropBytes(Record& record);
-  void forgetOldestEnded();
+  void dropResponse(Record& record);
+  void forgetOldestCompleted();
   void advance(Span now);
 
   LifeNo life_;
   Limits limits_;
   std::unordered_map<ForwardId, Record, HashForwardId> records_;
-  std::unordered_map<std::uint64_t, ForwardId> atWork_;  // by AskNo
-  Order ended_;                                          // as they ended
-  Order withBytes_;                                      // of these, the ones whose answers are kept
-  Order fenced_;                                         // as they were asked after
-  std::size_t answerBytes_ = 0;
-  Span awake_{};     // time in which the process ran
-  Span seen_{};      // the last call's time
-  Span gapUntil_{};  // until then forwards that ended are forgotten early, in time awake
+  std::unordered_map<std::uint64_t, ForwardId> inProgress_;  // by InboundRequestId
+  Queue completed_;
+  Queue withResponse_;  // completed forwards whose responses are kept
+  Queue fenced_;
+  std::size_t responseBytes_ = 0;
+  Span activeTime_{};       // time during which the process was running
+  Span lastCall_{};         // the time of the last call
+  Span unreliableUntil_{};  // active time until which records may have been removed early
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/forwarding/forwarding.cpp
+++ b/src/mesh/forwarding/forwarding.cpp
@@ -8,10 +8,10 @@
 namespace rackroute::mesh {
 namespace {
 
-constexpr std::size_t kFields = 9;         // of a request
-constexpr std::size_t kFieldsWithId = 12;  // of one whose outcome may be asked
+constexpr std::size_t kFields = 9;
+constexpr std::size_t kFieldsWithId = 12;  // with a ForwardId and the target of an outcome query
 
-std::vector<std::string_view> fieldsOf(std::string_view text) {
+std::vector<std::string_view> splitFields(std::string_view text) {
   std::vector<std::string_view> fields;
   for (;;) {
     const std::size_t end = text.find(';');
@@ -22,7 +22,7 @@
 }
 
 template <class Number>
-bool read(std::string_view text, Number& number) {
+bool parse(std::string_view text, Number& number) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   return error == std::errc{} && end == text.data() + text.size();
 }
@@ -30,89 +30,90 @@
 }  // namespace
 
 std::string_view nameOf(Verdict verdict) {
-  static constexpr std::array<std::string_view, kVerdicts> kNames{
+  static constexpr std::array<std::string_view, kVerdictCount> kNames{
       "ran",         "turned_away", "full",    "leaving",    "strange", "unreachable",
       "no_majority", "held",        "at_work", "never_came", "unknown"};
   return kNames[static_cast<std::size_t>(verdict)];
 }
 
-std::string textOf(const ForwardRequest& ask) {
-  return ask.instance.value + ';' + ask.service.value + ';' + ask.caller.value + ';' +
-         std::to_string(ask.left / std::chrono::milliseconds(1)) + ';' +
-         std::to_string(ask.aim / std::chrono::milliseconds(1)) + ';' + std::to_string(ask.priority) + ';' +
-         std::to_string(static_cast<int>(ask.kind)) + ';' + ask.route + ';' +
-         (ask.holder ? std::to_string(ask.holder->value) : std::string()) +
-         (ask.id ? ';' + std::to_string(ask.id->origin) + ';' + std::to_string(ask.id->number) + ';' +
-                       (ask.outcomeOf ? std::to_string(ask.outcomeOf->value) : std::string())
-                 : std::string());
+std::string textOf(const ForwardRequest& request) {
+  return request.instance.value + ';' + request.service.value + ';' + request.caller.value + ';' +
+         std::to_string(request.left / std::chrono::milliseconds(1)) + ';' +
+         std::to_string(request.targetLeft / std::chrono::milliseconds(1)) + ';' +
+         std::to_string(request.priority) + ';' + std::to_string(static_cast<int>(request.kind)) + ';' +
+         request.route + ';' + (request.holder ? std::to_string(request.holder->value) : std::string()) +
+         (request.id
+              ? ';' + std::to_string(request.id->origin) + ';' + std::to_string(request.id->number) + ';' +
+                    (request.outcomeQuery ? std::to_string(request.outcomeQuery->value) : std::string())
+              : std::string());
 }
 
-std::optional<ForwardRequest> askFrom(std::string_view text) {
-  const auto fields = fieldsOf(text);
+std::optional<ForwardRequest> parseForwardRequest(std::string_view text) {
+  const auto fields = splitFields(text);
   if (fields.size() != kFields && fields.size() != kFieldsWithId) return std::nullopt;
-  ForwardRequest ask;
-  ask.instance = {std::string(fields[0])};
-  ask.service = {std::string(fields[1])};
-  ask.caller = {std::string(fields[2])};
+  ForwardRequest request;
+  request.instance = {std::string(fields[0])};
+  request.service = {std::string(fields[1])};
+  request.caller = {std::string(fields[2])};
   std::int64_t left = 0;
-  std::int64_t aim = 0;
+  std::int64_t targetLeft = 0;
   int kind = 0;
-  if (!read(fields[3], left) || !read(fields[4], aim) || !read(fields[5], ask.priority) ||
-      !read(fields[6], kind) || kind < 0 || kind > static_cast<int>(RouteKind::keyed))
+  if (!parse(fields[3], left) || !parse(fields[4], targetLeft) || !parse(fields[5], request.priority) ||
+      !parse(fields[6], kind) || kind < 0 || kind > static_cast<int>(RouteKind::keyed))
     return std::nullopt;
-  ask.left = std::chrono::milliseconds(left);
-  ask.aim = std::chrono::milliseconds(aim);
-  ask.kind = static_cast<RouteKind>(kind);
-  ask.route = std::string(fields[7]);
+  request.left = std::chrono::milliseconds(left);
+  request.targetLeft = std::chrono::milliseconds(targetLeft);
+  request.kind = static_cast<RouteKind>(kind);
+  request.route = std::string(fields[7]);
   if (!fields[8].empty()) {
     LifeNo life;
-    if (!read(fields[8], life.value)) return std::nullopt;
-    ask.holder = life;
+    if (!parse(fields[8], life.value)) return std::nullopt;
+    request.holder = life;
   }
   if (fields.size() == kFieldsWithId) {
     ForwardId id;
-    if (!read(fields[9], id.origin) || !read(fields[10], id.number)) return std::nullopt;
-    ask.id = id;
+    if (!parse(fields[9], id.origin) || !parse(fields[10], id.number)) return std::nullopt;
+    request.id = id;
     LifeNo life;
-    if (!fields[11].empty() && !read(fields[11], life.value)) return std::nullopt;
-    if (!fields[11].empty()) ask.outcomeOf = life;
+    if (!fields[11].empty() && !parse(fields[11], life.value)) return std::nullopt;
+    if (!fields[11].empty()) request.outcomeQuery = life;
   }
-  return ask;
+  return request;
 }
 
-std::string textOf(const ForwardReply& told) {
-  std::string text = std::to_string(static_cast<int>(told.verdict)) + ';';
-  if (told.load) text += std::to_string(told.load->busy) + ';' + std::to_string(told.load->queued) + ';';
-  if (!told.load) text += ";;";
-  text += std::to_string(told.wait / std::chrono::milliseconds(1)) + ';' + (told.repeated ? "1" : "") + ';';
-  if (told.holder) {
-    text += told.holder->at.value + ';' + std::to_string(told.holder->life.value) + ';' +
-            std::to_string(told.holder->no.value);
+std::string textOf(const ForwardReply& reply) {
+  std::string text = std::to_string(static_cast<int>(reply.verdict)) + ';';
+  if (reply.load) text += std::to_string(reply.load->busy) + ';' + std::to_string(reply.load->queued) + ';';
+  if (!reply.load) text += ";;";
+  text += std::to_string(reply.wait / std::chrono::milliseconds(1)) + ';' + (reply.replayed ? "1" : "") + ';';
+  if (reply.holder) {
+    text += reply.holder->at.value + ';' + std::to_string(reply.holder->life.value) + ';' +
+            std::to_string(reply.holder->no.value);
   } else {
     text += ";;";
   }
   return text;
 }
 
-std::optional<ForwardReply> toldFrom(std::string_view text) {
-  const auto fields = fieldsOf(text);
+std::optional<ForwardReply> parseForwardReply(std::string_view text) {
+  const auto fields = splitFields(text);
   if (fields.size() != 8) return std::nullopt;
-  ForwardReply told;
+  ForwardReply reply;
   int verdict = 0;
   std::int64_t wait = 0;
-  if (!read(fields[0], verdict) || verdict < 0 || verdict > static_cast<int>(Verdict::unknown) ||
-      !read(fields[3], wait))
+  if (!parse(fields[0], verdict) || verdict < 0 || verdict > static_cast<int>(Verdict::unknown) ||
+      !parse(fields[3], wait))
     return std::nullopt;
-  told.verdict = static_cast<Verdict>(verdict);
-  told.wait = std::chrono::milliseconds(wait);
-  told.repeated = fields[4] == "1";
+  reply.verdict = static_cast<Verdict>(verdict);
+  reply.wait = std::chrono::milliseconds(wait);
+  reply.replayed = fields[4] == "1";
   Load load;
-  if (read(fields[1], load.busy) && read(fields[2], load.queued)) told.load = load;
+  if (parse(fields[1], load.busy) && parse(fields[2], load.queued)) reply.load = load;
   Holder holder;
   holder.at = {std::string(fields[5])};
-  if (!fields[5].empty() && read(fields[6], holder.life.value) && read(fields[7], holder.no.value))
-    told.holder = holder;
-  return told;
+  if (!fields[5].empty() && parse(fields[6], holder.life.value) && parse(fields[7], holder.no.value))
+    reply.holder = holder;
+  return reply;
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/forwarding/forwarding.hpp
+++ b/src/mesh/forwarding/forwarding.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// What two data-plane processes say to each other beside a request and its answer: one header each way, of
-// this one connection alone. It decides nothing.
+// Metadata exchanged between two data-plane processes alongside a forwarded request and its response: one
+// hop-by-hop header in each direction, with its encoding.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,70 +16,74 @@
 namespace rackroute::mesh {
 
 inline constexpr std::string_view kForwardHeader = "Rackroute-Forward";
-inline constexpr std::string_view kAttempt = "Rackroute-Attempt-Id";
-inline constexpr std::string_view kDeadline = "Rackroute-Deadline-Ms";
-inline constexpr std::string_view kExpect = "Rackroute-Expect-Instance";
-inline constexpr std::string_view kCaller = "Rackroute-Caller-Service";
-inline constexpr std::string_view kOperation = "Rackroute-Operation-Key";
-inline constexpr std::string_view kNotRun = "Rackroute-Not-Run";
+inline constexpr std::string_view kAttemptIdHeader = "Rackroute-Attempt-Id";
+inline constexpr std::string_view kDeadlineHeader = "Rackroute-Deadline-Ms";
+inline constexpr std::string_view kExpectInstanceHeader = "Rackroute-Expect-Instance";
+inline constexpr std::string_view kCallerServiceHeader = "Rackroute-Caller-Service";
+inline constexpr std::string_view kOperationKeyHeader = "Rackroute-Operation-Key";
+inline constexpr std::string_view kNotRunHeader = "Rackroute-Not-Run";
 
-using AskNo = Id<struct AskTag, std::uint64_t>;  // one request that came from another process
+using InboundRequestId =
+    Id<struct InboundRequestTag, std::uint64_t>;  // a forward received from another process
 
-/// One forward of a request that may run at most once, unlike any other in the mesh.
+/// Mesh-wide unique ID of one forward of a request that may be executed at most once.
 struct ForwardId {
-  std::uint64_t origin = 0;  // of the sending life; drawn
-  std::uint64_t number = 0;  // counts its forwards
+  std::uint64_t origin = 0;  // random, per sending process
+  std::uint64_t number = 0;  // sequence number within the origin
   auto operator<=>(const ForwardId&) const = default;
 };
 
-/// How long after a forward was sent the word that it never came may be believed, by the sender's clock. The
-/// receiver remembers each forward for twice as long after its end: it cannot have come and been forgotten.
-inline constexpr Span kOutcomeTrust = std::chrono::seconds(10);
+/// How long after sending a forward, by the sender's clock, a `notReceived` reply to an outcome query may be
+/// trusted. The receiver keeps each forward's record for twice as long after completion, so a forward that it
+/// received cannot have been forgotten within this time.
+inline constexpr Span kOutcomeQueryWindow = std::chrono::seconds(10);
 
-/// What the caller's process asks of the server's.
+/// Sent by the caller's sidecar to the server's sidecar.
 struct ForwardRequest {
   InstanceId instance;
   ServiceName service;
-  ServiceName caller;  // what runs on the machine where the request began
-  Span left{};         // until its client gives up
-  Span aim{};          // left of the time within which it earns its full worth
+  ServiceName caller;  // service on the machine where the request originated
+  Span left{};         // time left until the client's deadline
+  Span targetLeft{};   // time left of the route's target response time
   std::uint32_t priority = 0;
   RouteKind kind = RouteKind::effectful;
-  std::string route;                // its name: work of one kind, as far as its length goes
-  std::optional<LifeNo> holder;     // set: only for the answer of the operation that this life holds
-  std::optional<ForwardId> id;      // set: what came of it may be asked
-  std::optional<LifeNo> outcomeOf;  // set: no request, but the question what came of `id`, sent to this life
+  std::string route;             // route name; groups requests of similar duration
+  std::optional<LifeNo> holder;  // set: only fetch the result of the operation claimed by this process life
+  std::optional<ForwardId> id;   // set: the outcome can be queried later
+  /// Set: not a request but a query for the outcome of `id`, which was sent to this process life.
+  std::optional<LifeNo> outcomeQuery;
 };
 
 enum class Verdict {
-  ran,          // the server's answer
-  turnedAway,   // the server answered that it did not run it
-  full,         // not sent to the server: no room in time
-  leaving,      // not sent: it drains or is gone
-  strange,      // not sent: no such server here
-  unreachable,  // not sent: the server takes no connection
-  voteless,     // not sent: no quorum for its key
-  held,         // not sent: another claim holds its key
-  atWork,       // the first of its key is still at work
-  neverCame,    // it had not come when it was asked after; should it come, it is turned away
-  unknown,      // it may have run, and no answer came
+  executed,          // the server's response follows
+  rejectedByServer,  // the server reported that it did not execute it
+  overloaded,        // not sent to the server: no capacity before the deadline
+  draining,          // not sent: the server is draining or has left
+  unknownServer,     // not sent: no such server on this machine
+  unreachable,       // not sent: the server does not accept connections
+  noQuorum,          // not sent: no quorum of voters for its key
+  keyClaimed,        // not sent: another claim holds its key
+  inProgress,        // an earlier request with the same key is still being executed
+  notReceived,       // outcome query: the forward has not arrived and will be rejected if it still does
+  unknown,           // it may have been executed; there is no response
 };
-inline constexpr std::size_t kVerdicts = static_cast<std::size_t>(Verdict::unknown) + 1;
-/// As the log has it.
+inline constexpr std::size_t kVerdictCount = static_cast<std::size_t>(Verdict::unknown) + 1;
+/// Name used in the log.
 std::string_view nameOf(Verdict verdict);
 
-/// What the server's process tells with whatever it answers.
+/// Sent by the server's sidecar along with every response.
 struct ForwardReply {
   Verdict verdict = Verdict::unknown;
   std::optional<Load> load;
   std::optional<Holder> holder;
-  Span wait{};            // how long until there may be room
-  bool repeated = false;  // the answer is an earlier run's
+  Span wait{};            // estimated time until capacity is available
+  bool replayed = false;  // the response is from an earlier execution
 };
 
-std::string textOf(const ForwardRequest& ask);
-std::optional<ForwardRequest> askFrom(std::string_view text);
-std::string textOf(const ForwardReply& told);
-std::optional<ForwardReply> toldFrom(std::string_view text);
+/// Header values; parsing returns nullopt for malformed input.
+std::string textOf(const ForwardRequest& request);
+std::optional<ForwardRequest> parseForwardRequest(std::string_view text);
+std::string textOf(const ForwardReply& reply);
+std::optional<ForwardReply> parseForwardReply(std::string_view text);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/routing/request_router.cpp
+++ b/src/mesh/routing/request_router.cpp
@@ -88,7 +88,7 @@
   act.ask.service = call.service;
   act.ask.caller = built_.service;
   act.ask.left = call.deadline - now;
-  act.ask.aim = std::max(Span{0}, call.started + call.route->aim - now);
+  act.ask.targetLeft = std::max(Span{0}, call.started + call.route->aim - now);
   act.ask.priority = call.route->priority;
   act.ask.kind = call.route->kind;
   act.ask.route = call.route->name;
@@ -102,23 +102,23 @@
                           std::uint32_t status) {
   Ending ending = Ending::failed;
   switch (how == ForwardResult::told ? told.verdict : Verdict::unknown) {
-    case Verdict::ran:
-      ending = status >= 500 && !told.repeated ? Ending::erred : Ending::served;
+    case Verdict::executed:
+      ending = status >= 500 && !told.replayed ? Ending::erred : Ending::served;
       break;
-    case Verdict::turnedAway:
-    case Verdict::full:
-    case Verdict::held:
-    case Verdict::atWork:
-    case Verdict::neverCame:
+    case Verdict::rejectedByServer:
+    case Verdict::overloaded:
+    case Verdict::keyClaimed:
+    case Verdict::inProgress:
+    case Verdict::notReceived:
       ending = Ending::full;
       break;
-    case Verdict::leaving:
+    case Verdict::draining:
       ending = Ending::leaving;
       break;
-    case Verdict::strange:
+    case Verdict::unknownServer:
       ending = Ending::strange;
       break;
-    case Verdict::voteless:
+    case Verdict::noQuorum:
       ending = Ending::voteless;
       break;
     case Verdict::unreachable:
@@ -162,7 +162,7 @@
   act.ask.kind = call.route->kind;
   act.ask.priority = call.route->priority;
   act.ask.id = ForwardId{origin_, sent.value};
-  act.ask.outcomeOf = broken.life;
+  act.ask.outcomeQuery = broken.life;
   acts.push_back(std::move(act));
   return true;
 }
@@ -189,16 +189,16 @@
   call.out.erase(sent);
   Verdict verdict = how == ForwardResult::told ? told.verdict : Verdict::unknown;
   // Word that it never came is believed only while the other process surely remembers what came.
-  const bool trusted = tried.kind == Try::Kind::outcome && now - tried.sentAt < kOutcomeTrust;
-  if (verdict == Verdict::neverCame && !trusted) verdict = Verdict::unknown;
+  const bool trusted = tried.kind == Try::Kind::outcome && now - tried.sentAt < kOutcomeQueryWindow;
+  if (verdict == Verdict::notReceived && !trusted) verdict = Verdict::unknown;
   const bool pure = call.route->kind == RouteKind::pure;
 
   if (tried.kind == Try::Kind::request) learn(now, tried, how, told, status);
 
   switch (verdict) {
-    case Verdict::ran: {
+    case Verdict::executed: {
       ++call.reached;
-      if (!told.repeated && status < 400) {
+      if (!told.replayed && status < 400) {
         double& mean = meanAnswer_.try_emplace(call.route->name, 0).first->second;
         const double seconds = std::chrono::duration<double>(now - call.started).count();
         mean = mean == 0 ? seconds : mean + kAnswerShare * (seconds - mean);
@@ -218,24 +218,24 @@
       calls_.erase(found);
       return acts;
     }
-    case Verdict::full:
-    case Verdict::leaving:
-    case Verdict::strange:
+    case Verdict::overloaded:
+    case Verdict::draining:
+    case Verdict::unknownServer:
     case Verdict::unreachable:
-    case Verdict::voteless:
+    case Verdict::noQuorum:
       ++call.refusals;
-      if (verdict == Verdict::voteless) {
+      if (verdict == Verdict::noQuorum) {
         call.quorumBack = std::max(call.quorumBack, told.wait);
       } else if (told.wait > Span{0}) {
         call.wait = std::min(call.wait, told.wait);
       }
       // One process may be cut off from the quorum; two are a sign that there is none.
-      if (verdict == Verdict::voteless && ++call.voteless > 1) call.refusals = kMostRefusals;
+      if (verdict == Verdict::noQuorum && ++call.voteless > 1) call.refusals = kMostRefusals;
       if (!call.out.empty()) return acts;
       if (tried.kind == Try::Kind::holder) break;  // the holder gave its claim back; the client may ask anew
       if (call.refusals < kMostRefusals && sendOn(now, no, call, acts)) return acts;
       break;
-    case Verdict::turnedAway:
+    case Verdict::rejectedByServer:
       ++call.reached;
       ++call.refusals;
       if (!call.out.empty()) return acts;
@@ -243,20 +243,20 @@
           budget(call.service).take(now) && sendOn(now, no, call, acts))
         return acts;
       break;
-    case Verdict::held:
+    case Verdict::keyClaimed:
       if (tried.kind != Try::Kind::request || !told.holder) break;
       askHolder(now, no, call, *told.holder, acts);
       return acts;
-    case Verdict::atWork:
+    case Verdict::inProgress:
       answer(no, 409, Span{0}, acts);
       calls_.erase(found);
       return acts;
-    case Verdict::neverCame:
+    case Verdict::notReceived:
       ++call.refusals;
       if (call.refusals < kMostRefusals && sendOn(now, no, call, acts)) return acts;
       break;
     case Verdict::unknown: {
-      if (tried.kind == Try::Kind::holder || (how == ForwardResult::told && told.repeated)) {
+      if (tried.kind == Try::Kind::holder || (how == ForwardResult::told && told.replayed)) {
         earlierRunUnknown(no, call, acts);
         return acts;
       }
--- a/src/mesh/sidecar/control_client.cpp
+++ b/src/mesh/sidecar/control_client.cpp
@@ -13,21 +13,21 @@
 using namespace std::chrono_literals;
 using Kind = ControlClientAction::Kind;
 
-constexpr Span kTick = 150ms;        // the finest step of all times below
-constexpr Span kHeartbeat = 500ms;   // between heartbeats
-constexpr Span kSilent = 1700ms;     // without a message, a session is over; three heartbeats and a delay
-constexpr Span kDialTime = 450ms;    // for a dial; a hung one is given up
-constexpr Span kRedial = 150ms;      // after a dial that failed or a session that ended
-constexpr Span kRedialRefused = 2s;  // after a message that could not be decoded: one log line each
-constexpr Span kDiffers = 200ms;     // with another digest than a home's, before items are fetched
-constexpr Span kDiffersElsewhere = 1000ms;  // than another control process's
-constexpr Span kRequestAgain = 700ms;       // between two requests for items
-/// Without a settled control process in reach, before items that no majority confirmed must do: longer than
-/// a control process takes to be settled again after one of them restarted.
+constexpr Span kTickInterval = 150ms;  // resolution of the other times
+constexpr Span kHeartbeatInterval = 500ms;
+constexpr Span kSessionTimeout = 1700ms;  // without a received message; three heartbeats and a margin
+constexpr Span kDialTimeout = 450ms;
+constexpr Span kRedialDelay = 150ms;         // after a failed dial or a closed session
+constexpr Span kRedialDelayAfterError = 2s;  // after an invalid message; limits log lines
+constexpr Span kDigestGrace = 200ms;  // a home's digest may differ for this long before items are requested
+constexpr Span kDigestGraceOther = 1000ms;    // other control processes' digests
+constexpr Span kItemsRequestTimeout = 700ms;  // before an items request is repeated
+/// How long no settled control process is reachable before unconfirmed items are accepted. Longer than
+/// control processes take to settle after one of them restarts.
 constexpr Span kUnsettledFor = 3s;
-/// Addresses that are neither seeds nor voters: more than stand by in any mesh.
-constexpr std::size_t kMostTemporary = 32;
-constexpr Span kForgetAfter = 30s;  // unreachable, one of them is forgotten
+/// Most known addresses that are neither seeds nor voters.
+constexpr std::size_t kMaxTemporary = 32;
+constexpr Span kForgetAfter = 30s;  // unreachable addresses that are neither seeds nor voters
 
 ControlClientAction actionAt(Kind kind, const Address& at) {
   ControlClientAction action;
@@ -38,17 +38,17 @@
 
 ControlClientAction action(Kind kind) { return actionAt(kind, {}); }
 
-ControlClientAction sending(const Address& at, std::shared_ptr<const std::string> text) {
-  ControlClientAction send = actionAt(Kind::say, at);
+ControlClientAction sendAction(const Address& at, std::shared_ptr<const std::string> text) {
+  ControlClientAction send = actionAt(Kind::send, at);
   send.text = std::move(text);
   return send;
 }
 
-ControlClientAction sending(const Address& at, const Message& message) {
-  return sending(at, std::make_shared<const std::string>(encode(message)));
+ControlClientAction sendAction(const Address& at, const Message& message) {
+  return sendAction(at, std::make_shared<const std::string>(encode(message)));
 }
 
-bool holdsConfiguration(const Items& items) {
+bool hasConfiguration(const Items& items) {
   const auto& all = items.all();
   return std::any_of(all.begin(), all.end(),
                      [](const auto& entry) { return entry.first.kind != ItemKind::voters; });
@@ -56,36 +56,36 @@
 
 }  // namespace
 
-Span ControlClient::tickEvery() { return kTick; }
+Span ControlClient::tickInterval() { return kTickInterval; }
 
-ControlClient::ControlClient(Built built) : built_(std::move(built)) {
-  for (const Address& seed : built_.seeds) controls_[seed];
+ControlClient::ControlClient(Config config) : config_(std::move(config)) {
+  for (const Address& seed : config_.seeds) controls_[seed];
 }
 
 void ControlClient::advance(Span now) {
   now_ = now;
   if (anySettled()) lastSettled_ = now;
-  unconfirmedWillDo_ = unconfirmedWillDo_ || unsettledForLong(now);
+  acceptUnconfirmed_ = acceptUnconfirmed_ || unsettledForLong(now);
 }
 
 // --- known control processes
 
-bool ControlClient::permanent(const Address& at) const {
-  const std::vector<Address>& seeds = built_.seeds;
+bool ControlClient::isPermanent(const Address& at) const {
+  const std::vector<Address>& seeds = config_.seeds;
   return voters_.find(at) != nullptr || std::find(seeds.begin(), seeds.end(), at) != seeds.end();
 }
 
 std::size_t ControlClient::temporaryControls() const {
   return static_cast<std::size_t>(std::count_if(
-      controls_.begin(), controls_.end(), [this](const auto& entry) { return !permanent(entry.first); }));
+      controls_.begin(), controls_.end(), [this](const auto& entry) { return !isPermanent(entry.first); }));
 }
 
-// Guards against replaced control processes, each at a new address, that fill the table: the one that has
-// been unreachable for the longest makes room.
-bool ControlClient::forgetLongestDown() {
+// Evicts the temporary address that has been unreachable for the longest, so that replaced control processes
+// with new addresses do not fill the table.
+bool ControlClient::evictLongestUnreachable() {
   auto longest = controls_.end();
   for (auto at = controls_.begin(); at != controls_.end(); ++at) {
-    if (at->second.up || permanent(at->first)) continue;
+    if (at->second.up || isPermanent(at->first)) continue;
     if (longest == controls_.end() || at->second.downSince < longest->second.downSince) longest = at;
   }
   if (longest == controls_.end()) return false;
@@ -93,219 +93,219 @@
   return true;
 }
 
-void ControlClient::learn(const std::vector<Address>& addresses) {
-  std::set<Address> told(addresses.begin(), addresses.end());
-  std::size_t learned = 0;
-  for (const Address& at : told) {
+void ControlClient::addAddresses(const std::vector<Address>& addresses) {
+  std::set<Address> unique(addresses.begin(), addresses.end());
+  std::size_t added = 0;
+  for (const Address& at : unique) {
     if (at.value.empty() || controls_.count(at) > 0) continue;
-    if (!permanent(at)) {
-      // Guards against a list of any length that puts out by itself what it has just brought.
-      if (learned == kMostTemporary) continue;
-      if (temporaryControls() >= kMostTemporary && !forgetLongestDown()) continue;
-      ++learned;
+    if (!isPermanent(at)) {
+      // A long list must not evict addresses that it has just added.
+      if (added == kMaxTemporary) continue;
+      if (temporaryControls() >= kMaxTemporary && !evictLongestUnreachable()) continue;
+      ++added;
     }
     controls_[at].downSince = now_;
   }
 }
 
-// Voters and seeds that are so no longer count as the others do.
-void ControlClient::trim(ControlClientActions& acts) {
-  for (std::size_t surplus = temporaryControls(); surplus > kMostTemporary; --surplus) {
-    if (forgetLongestDown()) continue;
+// Enforces the limit after addresses stopped being voters or seeds.
+void ControlClient::evictSurplus(ControlClientActions& actions) {
+  for (std::size_t surplus = temporaryControls(); surplus > kMaxTemporary; --surplus) {
+    if (evictLongestUnreachable()) continue;
     const auto last = std::find_if(controls_.rbegin(), controls_.rend(),
-                                   [this](const auto& entry) { return !permanent(entry.first); });
-    acts.push_back(actionAt(Kind::hangUp, last->first));
+                                   [this](const auto& entry) { return !isPermanent(entry.first); });
+    actions.push_back(actionAt(Kind::disconnect, last->first));
     controls_.erase(last->first);
   }
 }
 
-void ControlClient::forgetUnreachable() {
+void ControlClient::removeUnreachable() {
   std::erase_if(controls_, [this](const auto& entry) {
-    return !entry.second.up && !permanent(entry.first) && entry.second.downSince + kForgetAfter <= now_;
+    return !entry.second.up && !isPermanent(entry.first) && entry.second.downSince + kForgetAfter <= now_;
   });
 }
 
-ControlClientActions ControlClient::seeds(Span now, std::vector<Address> seeds) {
+ControlClientActions ControlClient::setSeeds(Span now, std::vector<Address> seeds) {
   advance(now);
-  ControlClientActions acts;
-  built_.seeds = std::move(seeds);
-  for (const Address& seed : built_.seeds) {
+  ControlClientActions actions;
+  config_.seeds = std::move(seeds);
+  for (const Address& seed : config_.seeds) {
     if (controls_.count(seed) == 0) controls_[seed].downSince = now;
   }
-  trim(acts);
-  assign(acts);
-  return acts;
+  evictSurplus(actions);
+  assignHomes(actions);
+  return actions;
 }
 
 // --- sessions
 
 ControlClientActions ControlClient::sendTo(const Address& at, const Message& message) const {
-  ControlClientActions acts;
-  acts.push_back(sending(at, message));
-  return acts;
+  ControlClientActions actions;
+  actions.push_back(sendAction(at, message));
+  return actions;
 }
 
 ControlClientActions ControlClient::sendAll(const Message& message) const {
   const auto text = std::make_shared<const std::string>(encode(message));
-  ControlClientActions acts;
+  ControlClientActions actions;
   for (const auto& [at, control] : controls_) {
-    if (control.up) acts.push_back(sending(at, text));
+    if (control.up) actions.push_back(sendAction(at, text));
   }
-  return acts;
+  return actions;
 }
 
 ControlClientActions ControlClient::sendToVoters(const Message& message) const {
   const auto text = std::make_shared<const std::string>(encode(message));
-  ControlClientActions acts;
-  for (const VoterId& voter : reachedVoters()) acts.push_back(sending(voter.at, text));
-  return acts;
+  ControlClientActions actions;
+  for (const VoterId& voter : reachedVoters()) actions.push_back(sendAction(voter.at, text));
+  return actions;
 }
 
-ControlClientActions ControlClient::reached(Span now, const Address& at) {
+ControlClientActions ControlClient::sessionOpened(Span now, const Address& at) {
   advance(now);
-  ControlClientActions acts;
+  ControlClientActions actions;
   const auto found = controls_.find(at);
   if (found == controls_.end()) {
-    // Forgotten while it was dialled.
-    acts.push_back(actionAt(Kind::hangUp, at));
-    return acts;
+    // The address was removed while the dial was in progress.
+    actions.push_back(actionAt(Kind::disconnect, at));
+    return actions;
   }
-  Control& control = found->second;
+  ControlProcess& control = found->second;
   const std::uint64_t sequence = control.sequence;
-  control = Control{};
+  control = ControlProcess{};
   control.up = true;
-  control.lastHeard = control.lastHeartbeat = now;
+  control.receivedAt = control.heartbeatSentAt = now;
   control.sequence = sequence;
-  if (!firstSession_) firstSession_ = now;
+  if (!firstSessionAt_) firstSessionAt_ = now;
   Hello hello;
-  hello.node = built_.node;
-  hello.life = built_.life;
-  hello.at = built_.at;
-  acts.push_back(sending(at, hello));
-  confirm(acts);
-  return acts;
+  hello.node = config_.node;
+  hello.life = config_.life;
+  hello.at = config_.at;
+  actions.push_back(sendAction(at, hello));
+  requestConfirmation(actions);
+  return actions;
 }
 
-void ControlClient::closed(Control& control, Span redialAfter) {
+void ControlClient::markDown(ControlProcess& control, Span redialAfter) {
   if (control.up) control.downSince = now_;
   control.up = false;
-  control.next = now_ + redialAfter;
+  control.nextDial = now_ + redialAfter;
   control.followed.clear();
 }
 
-ControlClientActions ControlClient::ended(Span now, const Address& at) {
+ControlClientActions ControlClient::sessionClosed(Span now, const Address& at) {
   advance(now);
-  ControlClientActions acts;
+  ControlClientActions actions;
   const auto found = controls_.find(at);
-  if (found == controls_.end()) return acts;
-  const bool was = found->second.up;
-  closed(found->second, kRedial);
-  if (!was) return acts;
-  if (confirming_ == at) confirming_.reset();
-  assign(acts);
-  confirm(acts);
-  return acts;
+  if (found == controls_.end()) return actions;
+  const bool wasUp = found->second.up;
+  markDown(found->second, kRedialDelay);
+  if (!wasUp) return actions;
+  if (confirmationPeer_ == at) confirmationPeer_.reset();
+  assignHomes(actions);
+  requestConfirmation(actions);
+  return actions;
 }
 
-void ControlClient::alive(Span now, const Address& at) {
+void ControlClient::markAlive(Span now, const Address& at) {
   const auto found = controls_.find(at);
   if (found == controls_.end()) return;
-  found->second.lastHeard = now;
-  if (confirming_ == at) confirmingSince_ = now;
+  found->second.receivedAt = now;
+  if (confirmationPeer_ == at) confirmationProgressAt_ = now;
 }
 
-void ControlClient::refuse(Entry& control, Error error, ControlClientActions& acts) {
-  ControlClientAction refused = actionAt(Kind::refused, control.first);
+void ControlClient::rejectMessage(Entry& control, Error error, ControlClientActions& actions) {
+  ControlClientAction refused = actionAt(Kind::protocolError, control.first);
   refused.error = std::move(error);
   refused.error.peer = control.first.value;
-  acts.push_back(std::move(refused));
-  closed(control.second, kRedialRefused);
-  if (confirming_ == control.first) confirming_.reset();
-  assign(acts);
-  confirm(acts);
+  actions.push_back(std::move(refused));
+  markDown(control.second, kRedialDelayAfterError);
+  if (confirmationPeer_ == control.first) confirmationPeer_.reset();
+  assignHomes(actions);
+  requestConfirmation(actions);
 }
 
-ControlClientActions ControlClient::heard(Span now, const Address& at, const nlohmann::json& text) {
+ControlClientActions ControlClient::handleMessage(Span now, const Address& at, const nlohmann::json& text) {
   advance(now);
-  ControlClientActions acts;
+  ControlClientActions actions;
   const auto found = controls_.find(at);
-  if (found == controls_.end() || !found->second.up) return acts;
-  found->second.lastHeard = now;
+  if (found == controls_.end() || !found->second.up) return actions;
+  found->second.receivedAt = now;
   const Result<Message> message = decode(text);
   if (!message) {
-    refuse(*found, message.error(), acts);
-    return acts;
+    rejectMessage(*found, message.error(), actions);
+    return actions;
   }
-  std::visit([&](const auto& known) { take(*found, known, acts); }, message.value());
-  return acts;
+  std::visit([&](const auto& known) { handle(*found, known, actions); }, message.value());
+  return actions;
 }
 
-void ControlClient::take(Entry& control, const Welcome& welcome, ControlClientActions& acts) {
+void ControlClient::handle(Entry& control, const Welcome& welcome, ControlClientActions& actions) {
   if (welcome.format != kMessageFormat) {
-    const std::string what =
-        "message format " + std::to_string(welcome.format) + " in place of " + std::to_string(kMessageFormat);
-    return refuse(control, failure("welcome", what), acts);
+    const std::string what = "unsupported message format " + std::to_string(welcome.format) + ", expected " +
+                             std::to_string(kMessageFormat);
+    return rejectMessage(control, failure("welcome", what), actions);
   }
   control.second.self = welcome.self;
   control.second.zone = welcome.zone;
-  const bool newer = adoptVoters(welcome.voters, acts);
-  learn(welcome.controls);
-  ControlClientAction life = actionAt(Kind::life, control.first);
+  const bool newer = adoptVoters(welcome.voters, actions);
+  addAddresses(welcome.controls);
+  ControlClientAction life = actionAt(Kind::highestLife, control.first);
   life.life = welcome.highestLife;
-  acts.push_back(std::move(life));
-  acts.push_back(actionAt(Kind::welcomed, control.first));
+  actions.push_back(std::move(life));
+  actions.push_back(actionAt(Kind::sessionReady, control.first));
   const VoterId* voter = voterAt(control);
   if (voter != nullptr && !newer) {
     ControlClientAction ready = actionAt(Kind::voterReady, control.first);
     ready.voter = *voter;
-    acts.push_back(std::move(ready));
+    actions.push_back(std::move(ready));
   }
-  assign(acts);
+  assignHomes(actions);
 }
 
-void ControlClient::take(Entry& entry, const Heartbeat& heartbeat, ControlClientActions& acts) {
-  Control& control = entry.second;
+void ControlClient::handle(Entry& entry, const Heartbeat& heartbeat, ControlClientActions& actions) {
+  ControlProcess& control = entry.second;
   const bool wasSettled = control.settled();
-  const auto votes = [this](const std::optional<Heartbeat>& told) {
-    return told && told->epoch == voters_.epoch && told->holdsState;
+  const auto canVote = [this](const std::optional<Heartbeat>& last) {
+    return last && last->epoch == voters_.epoch && last->holdsState;
   };
-  const bool couldVote = votes(control.told);
-  const bool toldUnsettled = control.told && !wasSettled;
-  control.told = heartbeat;
+  const bool couldVote = canVote(control.lastHeartbeat);
+  const bool wasUnsettled = control.lastHeartbeat && !wasSettled;
+  control.lastHeartbeat = heartbeat;
   control.echo = std::max(control.echo, heartbeat.sequence);
-  if (heartbeat.members != members_) {
-    // The largest of what is told is the careful one: more processes, a smaller part for each.
-    members_ = std::max(heartbeat.members, controls_.size() > 1 ? members_ : 0);
-    acts.push_back(action(Kind::members));
+  if (heartbeat.members != memberCount_) {
+    // Uses the largest reported count: more processes mean a smaller share of the retry allowance for each.
+    memberCount_ = std::max(heartbeat.members, controls_.size() > 1 ? memberCount_ : 0);
+    actions.push_back(action(Kind::memberCount));
   }
-  if (wasSettled != control.settled()) assign(acts);
-  // Guards against claims that a voter passed over while it knew another set or had to read state first.
+  if (wasSettled != control.settled()) assignHomes(actions);
+  // The voter may have ignored claims while it knew another set or was still loading its state.
   const VoterId* voter = voterAt(entry);
-  if (voter != nullptr && !couldVote && votes(control.told)) {
+  if (voter != nullptr && !couldVote && canVote(control.lastHeartbeat)) {
     ControlClientAction ready = actionAt(Kind::voterReady, entry.first);
     ready.voter = *voter;
-    acts.push_back(std::move(ready));
+    actions.push_back(std::move(ready));
   }
-  // What it was asked while it was not settled it may have passed over.
-  if (toldUnsettled && control.settled() && confirming_ == entry.first) confirming_.reset();
-  confirm(acts);
-  fetchDiffering(entry, acts);
+  // It may have ignored a request that it received before it was settled.
+  if (wasUnsettled && control.settled() && confirmationPeer_ == entry.first) confirmationPeer_.reset();
+  requestConfirmation(actions);
+  fetchDiffering(entry, actions);
 }
 
-void ControlClient::take(Entry&, const ControlAddresses& addresses, ControlClientActions&) {
-  learn(addresses.list);
+void ControlClient::handle(Entry&, const ControlAddresses& addresses, ControlClientActions&) {
+  addAddresses(addresses.list);
 }
 
-void ControlClient::take(Entry& control, const ServersUpdate& update, ControlClientActions& acts) {
+void ControlClient::handle(Entry& control, const ServersUpdate& update, ControlClientActions& actions) {
   if (update.recorded != 0) {
     ControlClientAction recorded = actionAt(Kind::recorded, control.first);
     recorded.record = update.recorded;
-    acts.push_back(std::move(recorded));
+    actions.push_back(std::move(recorded));
   }
-  for (const News& news : update.servers) {
-    ControlClientAction server = action(Kind::server);
-    server.news = news;
-    acts.push_back(std::move(server));
+  for (const News& status : update.servers) {
+    ControlClientAction server = action(Kind::serverUpdate);
+    server.serverStatus = status;
+    actions.push_back(std::move(server));
   }
 }
 
@@ -314,34 +314,34 @@
 const VoterId* ControlClient::voterAt(const Entry& control) const {
   if (!control.second.up || !control.second.self) return nullptr;
   const VoterId* voter = voters_.find(control.first);
-  // Guards against a voter that lost its disk and came back at its address: it is not the one in the set.
+  // A voter that lost its disk and restarted at the same address is not the one in the set.
   if (voter == nullptr || !(*control.second.self == *voter)) return nullptr;
   return voter;
 }
 
 std::vector<VoterId> ControlClient::reachedVoters() const {
-  std::vector<VoterId> reached;
+  std::vector<VoterId> connected;
   for (const Entry& control : controls_) {
-    if (const VoterId* voter = voterAt(control)) reached.push_back(*voter);
+    if (const VoterId* voter = voterAt(control)) connected.push_back(*voter);
   }
-  return reached;
+  return connected;
 }
 
-bool ControlClient::adoptVoters(const VoterSet& set, ControlClientActions& acts) {
+bool ControlClient::adoptVoters(const VoterSet& set, ControlClientActions& actions) {
   if (set.epoch <= voters_.epoch) return false;
   voters_ = set;
   for (const VoterId& voter : voters_.voters) {
     if (controls_.count(voter.at) == 0) controls_[voter.at].downSince = now_;
   }
-  acts.push_back(action(Kind::voters));
+  actions.push_back(action(Kind::votersChanged));
   return true;
 }
 
-void ControlClient::take(Entry&, const VotersUpdate& update, ControlClientActions& acts) {
-  adoptVoters(update.voters, acts);
+void ControlClient::handle(Entry&, const VotersUpdate& update, ControlClientActions& actions) {
+  adoptVoters(update.voters, actions);
 }
 
-void ControlClient::take(Entry& control, const Votes& votes, ControlClientActions& acts) {
+void ControlClient::handle(Entry& control, const Votes& votes, ControlClientActions& actions) {
   for (const Vote& vote : votes.votes) {
     ControlClientAction counted = actionAt(Kind::vote, control.first);
     counted.voter = votes.voter;
@@ -349,63 +349,64 @@
     counted.claim = vote.claim;
     counted.granted = !vote.holder;
     counted.holder = vote.holder;
-    acts.push_back(std::move(counted));
+    actions.push_back(std::move(counted));
   }
 }
 
 // --- the configuration
 
-void ControlClient::requestItems(Entry& control, bool confirmed, ControlClientActions& acts) {
+void ControlClient::requestItems(Entry& control, bool confirmed, ControlClientActions& actions) {
   ItemsRequest request;
   request.versions = items_.versions();
   request.confirmed = confirmed;
-  acts.push_back(sending(control.first, request));
+  actions.push_back(sendAction(control.first, request));
 }
 
-void ControlClient::take(Entry& control, const ItemsReply& reply, ControlClientActions& acts) {
+void ControlClient::handle(Entry& control, const ItemsReply& reply, ControlClientActions& actions) {
   bool changed = false;
   for (const Item& item : reply.items) {
     if (!items_.merge(item)) continue;
     if (item.key.kind != ItemKind::voters) {
       changed = true;
     } else if (!item.dropped) {
-      adoptVoters(voterSetFrom(item.value), acts);
+      adoptVoters(voterSetFrom(item.value), actions);
     }
   }
   if (reply.last()) {
-    complete_ = complete_ || holdsConfiguration(items_);
-    toldByHolder_ = toldByHolder_ || reply.holdsState;
+    complete_ = complete_ || hasConfiguration(items_);
+    receivedFromStateHolder_ = receivedFromStateHolder_ || reply.holdsState;
     confirmed_ = confirmed_ || reply.confirmed;
   } else {
-    // Guards against a large configuration that is fetched twice over a thin link: its parts keep coming.
-    fetchedAt_ = now_;
-    if (confirming_ == control.first) confirmingSince_ = now_;
+    // Parts are still arriving: do not request a large configuration again over a slow link.
+    lastFetch_ = now_;
+    if (confirmationPeer_ == control.first) confirmationProgressAt_ = now_;
   }
-  if (changed) acts.push_back(action(Kind::configured));
+  if (changed) actions.push_back(action(Kind::itemsChanged));
 }
 
-// A home's pushes come ahead of its digest; what the others hold is on its way from the home. One at a time,
-// as a large configuration takes a while on a thin link.
-void ControlClient::fetchDiffering(Entry& entry, ControlClientActions& acts) {
-  Control& control = entry.second;
-  if (control.told->digest == items_.digest()) {
-    control.differsSince = Span::max();
+// Requests items from a control process whose digest differs for a while. A short difference is normal:
+// updates are pushed by the homes. One request at a time, as a large configuration takes long over a slow
+// link.
+void ControlClient::fetchDiffering(Entry& entry, ControlClientActions& actions) {
+  ControlProcess& control = entry.second;
+  if (control.lastHeartbeat->digest == items_.digest()) {
+    control.digestDiffersSince = Span::max();
     return;
   }
-  if (control.differsSince == Span::max()) {
-    control.differsSince = now_;
+  if (control.digestDiffersSince == Span::max()) {
+    control.digestDiffersSince = now_;
     return;
   }
   if (!control.holdsState()) return;
-  // Before the first answer of a settled one, that answer is on its way.
+  // A confirmed reply has been requested and is still to come.
   if (!confirmed_ && anySettled()) return;
-  const bool early = !control.followed.empty() || !holdsConfiguration(items_);
-  const Span patience = early ? kDiffers : kDiffersElsewhere;
-  const bool paced = !fetchedAt_ || *fetchedAt_ + kRequestAgain <= now_;
-  if (control.differsSince + patience > now_ || !paced) return;
-  control.differsSince = now_;
-  fetchedAt_ = now_;
-  requestItems(entry, false, acts);
+  const bool urgent = !control.followed.empty() || !hasConfiguration(items_);
+  const Span grace = urgent ? kDigestGrace : kDigestGraceOther;
+  const bool mayRequest = !lastFetch_ || *lastFetch_ + kItemsRequestTimeout <= now_;
+  if (control.digestDiffersSince + grace > now_ || !mayRequest) return;
+  control.digestDiffersSince = now_;
+  lastFetch_ = now_;
+  requestItems(entry, false, actions);
 }
 
 bool ControlClient::anySettled() const {
@@ -413,13 +414,13 @@
                      [](const auto& entry) { return entry.second.settled(); });
 }
 
-// A settled one before any other; then whoever was not asked for the longest, the own zone's first.
+// Prefers settled control processes, then the least recently asked, then those in the own zone.
 ControlClient::Entry* ControlClient::confirmationSource() {
   Entry* best = nullptr;
   const auto rank = [this](const Entry& entry) {
-    const Control& control = entry.second;
-    const Span asked = control.confirmationAsked.value_or(Span::min());
-    return std::tuple(!control.settled(), asked, control.zone != built_.zone);
+    const ControlProcess& control = entry.second;
+    const Span asked = control.confirmationRequestedAt.value_or(Span::min());
+    return std::tuple(!control.settled(), asked, control.zone != config_.zone);
   };
   for (Entry& entry : controls_) {
     if (!entry.second.up) continue;
@@ -428,39 +429,39 @@
   return best;
 }
 
-// Guards against a start with what one control process holds that was cut off from the majority: the items in
-// force may be newer.
-void ControlClient::confirm(ControlClientActions& acts) {
+// Requests items that are confirmed by a majority. The items of a single control process may be outdated if
+// it is partitioned from the majority.
+void ControlClient::requestConfirmation(ControlClientActions& actions) {
   if (confirmed_) return;
   Entry* source = confirmationSource();
   if (source == nullptr) return;
-  if (confirming_) {
-    const bool late = confirmingSince_ + kRequestAgain <= now_;
-    const bool better = source->second.settled() && !controls_.at(*confirming_).settled();
+  if (confirmationPeer_) {
+    const bool late = confirmationProgressAt_ + kItemsRequestTimeout <= now_;
+    const bool better = source->second.settled() && !controls_.at(*confirmationPeer_).settled();
     if (!late && !better) return;
   }
-  confirming_ = source->first;
-  confirmingSince_ = now_;
-  source->second.confirmationAsked = now_;
-  requestItems(*source, true, acts);
+  confirmationPeer_ = source->first;
+  confirmationProgressAt_ = now_;
+  source->second.confirmationRequestedAt = now_;
+  requestItems(*source, true, actions);
 }
 
 bool ControlClient::unsettledForLong(Span now) const {
-  if (!firstSession_ || !complete_ || !toldByHolder_ || anySettled()) return false;
-  return std::max(*firstSession_, lastSettled_) + kUnsettledFor <= now;
+  if (!firstSessionAt_ || !complete_ || !receivedFromStateHolder_ || anySettled()) return false;
+  return std::max(*firstSessionAt_, lastSettled_) + kUnsettledFor <= now;
 }
 
 bool ControlClient::ready(Span now) const {
-  return complete_ && (confirmed_ || unconfirmedWillDo_ || unsettledForLong(now));
+  return complete_ && (confirmed_ || acceptUnconfirmed_ || unsettledForLong(now));
 }
 
 // --- homes
 
 ControlClientActions ControlClient::follow(const std::vector<ServiceName>& services) {
   services_ = services;
-  ControlClientActions acts;
-  assign(acts);
-  return acts;
+  ControlClientActions actions;
+  assignHomes(actions);
+  return actions;
 }
 
 std::set<ServiceName> ControlClient::servicesAt(const Address& control) const {
@@ -468,15 +469,15 @@
   return found == controls_.end() ? std::set<ServiceName>{} : found->second.followed;
 }
 
-// A control process in the zone that is settled; where there is none, one further away. All in the zone
-// choose alike, so news crosses between zones once (rendezvous hashing).
+// Prefers settled control processes, then those in the own zone. Rendezvous hashing makes all sidecars of a
+// zone choose the same one, so updates cross between zones once.
 const Address* ControlClient::homeOf(const ServiceName& service) const {
   const Address* best = nullptr;
   std::tuple<bool, bool, std::uint64_t> highest;
   for (const auto& [at, control] : controls_) {
     if (!control.up) continue;
     const std::string pair = service.value + '/' + at.value;
-    const std::tuple rank{control.settled(), control.zone == built_.zone,
+    const std::tuple rank{control.settled(), control.zone == config_.zone,
                           std::uint64_t{XXH3_64bits(pair.data(), pair.size())}};
     if (best != nullptr && rank <= highest) continue;
     best = &at;
@@ -485,7 +486,7 @@
   return best;
 }
 
-void ControlClient::assign(ControlClientActions& acts) {
+void ControlClient::assignHomes(ControlClientActions& actions) {
   std::map<Address, std::set<ServiceName>> homes;
   for (const ServiceName& service : services_) {
     if (const Address* home = homeOf(service)) homes[*home].insert(service);
@@ -496,7 +497,7 @@
     if (wanted == control.followed) continue;
     Follow follow;
     follow.services.assign(wanted.begin(), wanted.end());
-    acts.push_back(sending(at, follow));
+    actions.push_back(sendAction(at, follow));
     control.followed = std::move(wanted);
   }
 }
@@ -505,34 +506,34 @@
 
 ControlClientActions ControlClient::tick(Span now) {
   advance(now);
-  ControlClientActions acts;
-  std::vector<Address> silent;
-  forgetUnreachable();
-  trim(acts);
+  ControlClientActions actions;
+  std::vector<Address> timedOut;
+  removeUnreachable();
+  evictSurplus(actions);
   for (auto& [at, control] : controls_) {
-    if (control.up && control.lastHeard + kSilent <= now) {
-      silent.push_back(at);
-    } else if (control.up && control.lastHeartbeat + kHeartbeat <= now) {
-      control.lastHeartbeat = now;
+    if (control.up && control.receivedAt + kSessionTimeout <= now) {
+      timedOut.push_back(at);
+    } else if (control.up && control.heartbeatSentAt + kHeartbeatInterval <= now) {
+      control.heartbeatSentAt = now;
       Heartbeat heartbeat;
       heartbeat.sequence = ++control.sequence;
       heartbeat.echo = control.echo;
-      acts.push_back(sending(at, heartbeat));
-    } else if (!control.up && control.next <= now) {
-      control.next = now + kDialTime;
-      acts.push_back(actionAt(Kind::dial, at));
+      actions.push_back(sendAction(at, heartbeat));
+    } else if (!control.up && control.nextDial <= now) {
+      control.nextDial = now + kDialTimeout;
+      actions.push_back(actionAt(Kind::dial, at));
     }
   }
-  for (const Address& at : silent) {
-    acts.push_back(actionAt(Kind::hangUp, at));
-    ControlClientActions more = ended(now, at);
-    std::move(more.begin(), more.end(), std::back_inserter(acts));
+  for (const Address& at : timedOut) {
+    actions.push_back(actionAt(Kind::disconnect, at));
+    ControlClientActions more = sessionClosed(now, at);
+    std::move(more.begin(), more.end(), std::back_inserter(actions));
   }
-  confirm(acts);
-  return acts;
+  requestConfirmation(actions);
+  return actions;
 }
 
-std::size_t ControlClient::sessions() const {
+std::size_t ControlClient::openSessions() const {
   return static_cast<std::size_t>(
       std::count_if(controls_.begin(), controls_.end(), [](const auto& entry) { return entry.second.up; }));
 }
--- a/src/mesh/sidecar/control_client.hpp
+++ b/src/mesh/sidecar/control_client.hpp
@@ -1,9 +1,10 @@
 #pragma once
 
-// The sidecar's side of the control plane: its sessions with control processes, the configuration items and
-// the voter set in force, the home of each service it follows, and whether what it holds is known to be the
-// newest. A state machine without I/O or clock: it takes inputs and returns what to send. It must never go
-// back on an item or a voter set, nor let go of what it holds because nobody tells it anything.
+// The sidecar's client of the control plane. Manages the sessions with control processes, the configuration
+// items and voter set in force, the control process that each followed service is assigned to (its home), and
+// whether the configuration is confirmed as current. A state machine without I/O or clock: takes inputs and
+// returns actions. Invariants: items and voter sets never regress to an older version, and the last known
+// state is kept while no control process is reachable.
 
 #include <cstdint>
 #include <map>
@@ -26,149 +27,151 @@
 
 struct ControlClientAction {
   enum class Kind {
-    say,         // send the text
-    dial,        // open a session
-    hangUp,      // end the session
-    refused,     // end the session and log the error: the control process sent what can't be taken
-    server,      // news of a server
-    recorded,    // a control process has what a server said of its leaving on its disk
-    configured,  // items changed
-    voters,      // a newer voter set is in force; open claims are to be asked anew of all voters reached
-    voterReady,  // a voter of that set can be asked for votes from now on
-    vote,        // on a claim
-    life,        // the highest life of this node that a control process knows
-    welcomed,    // a session stands: the control process is to be told of the servers here
-    members      // the number of sidecars changed
+    send,           // send `text`
+    dial,           // open a session
+    disconnect,     // close the session
+    protocolError,  // close the session and log the error: the control process sent an invalid message
+    serverUpdate,   // the state of a server changed
+    recorded,       // a control process has persisted a server's departure
+    itemsChanged,   // configuration items changed
+    votersChanged,  // a newer voter set is in force: repeat open claims to all connected voters
+    voterReady,     // a voter of the set in force accepts claim requests from now on
+    vote,           // a voter's answer to a claim
+    highestLife,    // the highest life number of this node that a control process knows
+    sessionReady,   // the handshake is complete: send the state of the local servers
+    memberCount     // the number of sidecars changed
   };
-  Kind kind = Kind::say;
-  Address at{};  // say, dial, hangUp, refused, welcomed, recorded: the control process
-  std::shared_ptr<const std::string> text{};  // say: one message; shared by all whom the same is sent to
-  Error error{};                              // refused
-  News news{};                                // server
-  std::uint64_t record = 0;                   // recorded: the number that was asked for
+  Kind kind = Kind::send;
+  /// The control process. For send, dial, disconnect, protocolError, sessionReady and recorded.
+  Address at{};
+  std::shared_ptr<const std::string> text{};  // send: one message; shared between recipients
+  Error error{};                              // protocolError
+  News serverStatus{};                        // serverUpdate
+  std::uint64_t record = 0;                   // recorded: the number of the request
   VoterId voter{};                            // vote, voterReady
-  Epoch epoch{};                              // vote: in which it was given
+  Epoch epoch{};                              // vote: the epoch in which it was cast
   ClaimNo claim{};                            // vote
   bool granted = false;                       // vote
   std::optional<Holder> holder{};             // vote
-  LifeNo life{};                              // life
+  LifeNo life{};                              // highestLife
 };
 using ControlClientActions = std::vector<ControlClientAction>;
 
 class ControlClient {
  public:
-  struct Built {
+  struct Config {
     NodeName node;
-    Address at;  // where others of the mesh reach this process
+    Address at;  // where other processes of the mesh connect to
     std::string zone;
     LifeNo life;
-    std::vector<Address> seeds;  // of the control plane's own session
+    std::vector<Address> seeds;  // control processes from the settings
   };
-  explicit ControlClient(Built built);
-
-  ControlClientActions reached(Span now, const Address& at);
-  ControlClientActions ended(Span now, const Address& at);  // a session, or a dial that failed
-  /// One message. What can't be decoded, or is of another message format, ends the session: `refused`, and
-  /// nothing of it is taken.
-  ControlClientActions heard(Span now, const Address& at, const nlohmann::json& text);
-  /// Bytes of a message that is not whole yet.
-  void alive(Span now, const Address& at);
+  explicit ControlClient(Config config);
+
+  ControlClientActions sessionOpened(Span now, const Address& at);
+  ControlClientActions sessionClosed(Span now, const Address& at);  // also for a failed dial
+  /// Handles one message. An invalid message, or one of another format version, is discarded as a whole and
+  /// closes the session (`protocolError`).
+  ControlClientActions handleMessage(Span now, const Address& at, const nlohmann::json& text);
+  /// Part of a message was received.
+  void markAlive(Span now, const Address& at);
   ControlClientActions tick(Span now);
-  ControlClientActions seeds(Span now, std::vector<Address> seeds);
-  /// The services whose servers are wanted.
+  ControlClientActions setSeeds(Span now, std::vector<Address> seeds);
+  /// Sets the services whose servers this sidecar needs.
   ControlClientActions follow(const std::vector<ServiceName>& services);
   [[nodiscard]] ControlClientActions sendTo(const Address& at, const Message& message) const;
   [[nodiscard]] ControlClientActions sendAll(const Message& message) const;
-  /// To the voters of the set in force that are reached.
+  /// Sends to all connected voters of the set in force.
   [[nodiscard]] ControlClientActions sendToVoters(const Message& message) const;
-  [[nodiscard]] static Span tickEvery();
+  [[nodiscard]] static Span tickInterval();
   [[nodiscard]] const Items& items() const { return items_; }
-  /// The newest that was told; epoch 0 without voters before that.
+  /// The newest known voter set; empty with epoch 0 until one is received.
   [[nodiscard]] const VoterSet& voters() const { return voters_; }
-  /// Voters of the set in force whose session stands and whose process is the one that the set names.
+  /// Voters of the set in force that have an open session and the identity listed in the set.
   [[nodiscard]] std::vector<VoterId> reachedVoters() const;
-  /// Whether requests may be served with what is held. There is a configuration, whole messages of it, and
-  /// either a settled control process has answered, after this process started, that a majority knows nothing
-  /// newer; or no settled one has been in reach for kUnsettledFor (3 s, counted from the first session at the
-  /// earliest), and what control processes that hold state told must do. So a start beside a control plane
-  /// that has lost its majority is delayed by at most 3 s and the fetch. Stays so for this life.
+  /// Whether requests may be served with the current configuration. Requires a completely received
+  /// configuration, and either (a) a confirmation by a settled control process, since this process started,
+  /// that a majority knows nothing newer; or (b) a reply from a control process that holds state, while no
+  /// settled control process has been reachable for kUnsettledFor (3 s, counted from the first session at the
+  /// earliest). A control plane without a majority thus delays a start by at most 3 s plus the fetch. Once
+  /// true, stays true.
   [[nodiscard]] bool ready(Span now) const;
-  [[nodiscard]] std::size_t sessions() const;
-  /// Addresses of control processes that are known, reached or not.
+  [[nodiscard]] std::size_t openSessions() const;
+  /// Number of known control process addresses, connected or not.
   [[nodiscard]] std::size_t knownControls() const { return controls_.size(); }
-  [[nodiscard]] std::size_t members() const { return members_; }
-  /// The services that this control process is the home of.
+  [[nodiscard]] std::size_t memberCount() const { return memberCount_; }
+  /// The services whose home is this control process.
   [[nodiscard]] std::set<ServiceName> servicesAt(const Address& control) const;
 
  private:
-  struct Control {
+  struct ControlProcess {
     bool up = false;
-    Span next{};       // when it may be dialled
-    Span downSince{};  // while it is not up
-    Span lastHeard{};
-    Span lastHeartbeat{};           // sent
-    std::uint64_t sequence = 0;     // of the last heartbeat sent
-    std::uint64_t echo = 0;         // highest sequence heard in this session
-    std::optional<VoterId> self;    // once it has said welcome
-    std::string zone;               // likewise
-    std::optional<Heartbeat> told;  // the last one of this session
-    Span differsSince = Span::max();
-    std::optional<Span> confirmationAsked;  // in this session
+    Span nextDial{};   // earliest time of the next dial
+    Span downSince{};  // if not up
+    Span receivedAt{};
+    Span heartbeatSentAt{};
+    std::uint64_t sequence = 0;              // of the last heartbeat sent
+    std::uint64_t echo = 0;                  // highest sequence number received in this session
+    std::optional<VoterId> self;             // from its welcome message
+    std::string zone;                        // from its welcome message
+    std::optional<Heartbeat> lastHeartbeat;  // received in this session
+    Span digestDiffersSince = Span::max();
+    std::optional<Span> confirmationRequestedAt;  // in this session
     std::set<ServiceName> followed;
 
-    [[nodiscard]] bool holdsState() const { return told && told->holdsState; }
-    [[nodiscard]] bool settled() const { return up && holdsState() && told->settled; }
+    [[nodiscard]] bool holdsState() const { return lastHeartbeat && lastHeartbeat->holdsState; }
+    [[nodiscard]] bool settled() const { return up && holdsState() && lastHeartbeat->settled; }
   };
-  using Entry = std::pair<const Address, Control>;
+  using Entry = std::pair<const Address, ControlProcess>;
 
   void advance(Span now);
-  void take(Entry& control, const Welcome& welcome, ControlClientActions& acts);
-  void take(Entry& control, const Heartbeat& heartbeat, ControlClientActions& acts);
-  void take(Entry& control, const ControlAddresses& addresses, ControlClientActions& acts);
-  void take(Entry& control, const VotersUpdate& update, ControlClientActions& acts);
-  void take(Entry& control, const ItemsReply& reply, ControlClientActions& acts);
-  void take(Entry& control, const ServersUpdate& update, ControlClientActions& acts);
-  void take(Entry& control, const Votes& votes, ControlClientActions& acts);
+  void handle(Entry& control, const Welcome& welcome, ControlClientActions& actions);
+  void handle(Entry& control, const Heartbeat& heartbeat, ControlClientActions& actions);
+  void handle(Entry& control, const ControlAddresses& addresses, ControlClientActions& actions);
+  void handle(Entry& control, const VotersUpdate& update, ControlClientActions& actions);
+  void handle(Entry& control, const ItemsReply& reply, ControlClientActions& actions);
+  void handle(Entry& control, const ServersUpdate& update, ControlClientActions& actions);
+  void handle(Entry& control, const Votes& votes, ControlClientActions& actions);
   template <class Other>
-  void take(Entry&, const Other&, ControlClientActions&) {}  // not meant for sidecars
+  void handle(Entry&, const Other&, ControlClientActions&) {}  // messages not sent to sidecars
 
-  bool adoptVoters(const VoterSet& set, ControlClientActions& acts);
+  bool adoptVoters(const VoterSet& set, ControlClientActions& actions);
   [[nodiscard]] const VoterId* voterAt(const Entry& control) const;
-  void refuse(Entry& control, Error error, ControlClientActions& acts);
-  void closed(Control& control, Span redialAfter);
+  void rejectMessage(Entry& control, Error error, ControlClientActions& actions);
+  void markDown(ControlProcess& control, Span redialAfter);
 
-  [[nodiscard]] bool permanent(const Address& at) const;
+  [[nodiscard]] bool isPermanent(const Address& at) const;
   [[nodiscard]] std::size_t temporaryControls() const;
-  void learn(const std::vector<Address>& addresses);
-  bool forgetLongestDown();
-  void trim(ControlClientActions& acts);
-  void forgetUnreachable();
+  void addAddresses(const std::vector<Address>& addresses);
+  bool evictLongestUnreachable();
+  void evictSurplus(ControlClientActions& actions);
+  void removeUnreachable();
 
-  void assign(ControlClientActions& acts);
+  void assignHomes(ControlClientActions& actions);
   [[nodiscard]] const Address* homeOf(const ServiceName& service) const;
 
-  void requestItems(Entry& control, bool confirmed, ControlClientActions& acts);
-  void fetchDiffering(Entry& control, ControlClientActions& acts);
-  void confirm(ControlClientActions& acts);
+  void requestItems(Entry& control, bool confirmed, ControlClientActions& actions);
+  void fetchDiffering(Entry& control, ControlClientActions& actions);
+  void requestConfirmation(ControlClientActions& actions);
   [[nodiscard]] Entry* confirmationSource();
   [[nodiscard]] bool anySettled() const;
   [[nodiscard]] bool unsettledForLong(Span now) const;
 
-  Built built_;
+  Config config_;
   Items items_;
   VoterSet voters_;
-  std::map<Address, Control> controls_;
+  std::map<Address, ControlProcess> controls_;
   std::vector<ServiceName> services_;
-  std::size_t members_ = 0;
-  bool complete_ = false;   // a configuration is held, and the last part of a reply has come
-  bool confirmed_ = false;  // a majority's answer has come
-  bool unconfirmedWillDo_ = false;
-  bool toldByHolder_ = false;  // a control process that holds state has answered
-  std::optional<Span> firstSession_;
-  Span lastSettled_{};                 // when a settled control process was last in reach
-  std::optional<Address> confirming_;  // the control process that was last asked for a confirmed reply
-  Span confirmingSince_{};             // since then it has sent nothing of it
-  std::optional<Span> fetchedAt_;      // when items were last asked for because digests differed
+  std::size_t memberCount_ = 0;
+  bool complete_ = false;   // has a configuration, and received the last part of an items reply
+  bool confirmed_ = false;  // received a confirmed items reply
+  bool acceptUnconfirmed_ = false;
+  bool receivedFromStateHolder_ = false;  // received an items reply from a control process that holds state
+  std::optional<Span> firstSessionAt_;
+  Span lastSettled_{};                       // when a settled control process was last connected
+  std::optional<Address> confirmationPeer_;  // last asked for a confirmed reply
+  Span confirmationProgressAt_{};            // when part of that reply last arrived
+  std::optional<Span> lastFetch_;            // last items request due to a differing digest
   Span now_{};
 };
 
--- a/src/mesh/sidecar/control_sessions.cpp
+++ b/src/mesh/sidecar/control_sessions.cpp
@@ -9,23 +9,23 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kDialControl = 400ms;  // a hung dial is given up before the next is due
+constexpr Span kDialTimeout = 400ms;  // shorter than the interval between dials
 
 }  // namespace
 
-void ControlSessions::act(const ControlClientAction& action) {
+void ControlSessions::execute(const ControlClientAction& action) {
   switch (action.kind) {
-    case ControlClientAction::Kind::say:
+    case ControlClientAction::Kind::send:
       if (const auto found = sessions_.find(action.at); found != sessions_.end())
-        found->second->say(action.text);
+        found->second->sendMessage(action.text);
       break;
-    case ControlClientAction::Kind::hangUp:
+    case ControlClientAction::Kind::disconnect:
       if (sessions_.count(action.at) > 0) log(LogLevel::info, "session", action.at.value, "silent");
-      end(action.at, sidecar::Reason::silent);
+      close(action.at, sidecar::Reason::silent);
       break;
-    case ControlClientAction::Kind::refused:
+    case ControlClientAction::Kind::protocolError:
       log(LogLevel::warning, action.error.step, action.error.peer, action.error.what);
-      end(action.at, sidecar::Reason::badMessage);
+      close(action.at, sidecar::Reason::badMessage);
       break;
     case ControlClientAction::Kind::dial:
       if (sessions_.count(action.at) == 0) dial(action.at);
@@ -35,7 +35,7 @@
   }
 }
 
-void ControlSessions::end(const Address& at, sidecar::Reason reason) {
+void ControlSessions::close(const Address& at, sidecar::Reason reason) {
   const auto found = sessions_.find(at);
   if (found == sessions_.end()) return;
   const auto session = found->second;
@@ -47,15 +47,15 @@
   const auto session =
       std::make_shared<SessionConnection>(loop_, compressor_, Poco::Net::StreamSocket(), at.value);
   sessions_[at] = session;
-  session->connect(at, kDialControl,
-                   {[this, at] { ends_.reached(at); },
-                    [this, at](const nlohmann::json& message) { ends_.heard(at, message); },
-                    [this, at] { ends_.alive(at); },
+  session->connect(at, kDialTimeout,
+                   {[this, at] { callbacks_.onOpened(at); },
+                    [this, at](const nlohmann::json& message) { callbacks_.onMessage(at, message); },
+                    [this, at] { callbacks_.onPartial(at); },
                     [this, at, session = session.get()] {
-                      const auto held = sessions_.find(at);
-                      if (held == sessions_.end() || held->second.get() != session) return;
-                      sessions_.erase(held);
-                      ends_.ended(at);
+                      const auto current = sessions_.find(at);
+                      if (current == sessions_.end() || current->second.get() != session) return;
+                      sessions_.erase(current);
+                      callbacks_.onClosed(at);
                     }});
 }
 
--- a/src/mesh/sidecar/control_sessions.hpp
+++ b/src/mesh/sidecar/control_sessions.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The sidecar's sessions with control processes, on sockets: carries out what ControlClient wants done with
-// them and tells what comes. It owns the connections and decides nothing.
+// The TCP sessions of a sidecar with control processes. Executes the actions of ControlClient and reports
+// events through callbacks. Owns the connections.
 
 #include <functional>
 #include <map>
@@ -17,26 +17,26 @@
 
 class ControlSessions {
  public:
-  /// What is told, each in a turn of its own.
-  struct Ends {
-    std::function<void(const Address&)> reached;
-    std::function<void(const Address&, const nlohmann::json&)> heard;
-    std::function<void(const Address&)> alive;  // bytes of a message that is not whole yet
-    std::function<void(const Address&)> ended;  // a session, or a dial that failed
+  /// Each is called in its own turn of the event loop.
+  struct Callbacks {
+    std::function<void(const Address&)> onOpened;
+    std::function<void(const Address&, const nlohmann::json&)> onMessage;
+    std::function<void(const Address&)> onPartial;  // part of a message was received
+    std::function<void(const Address&)> onClosed;   // also for a failed dial
   };
-  ControlSessions(sidecar::Loop& loop, Ends ends) : loop_(loop), ends_(std::move(ends)) {}
+  ControlSessions(sidecar::Loop& loop, Callbacks callbacks) : loop_(loop), callbacks_(std::move(callbacks)) {}
   ControlSessions(const ControlSessions&) = delete;
   ControlSessions& operator=(const ControlSessions&) = delete;
 
-  /// say, dial, hangUp and refused; other kinds are none of its own.
-  void act(const ControlClientAction& action);
+  /// Handles send, dial, disconnect and protocolError; ignores other kinds.
+  void execute(const ControlClientAction& action);
 
  private:
   void dial(const Address& at);
-  void end(const Address& at, sidecar::Reason reason);
+  void close(const Address& at, sidecar::Reason reason);
 
   sidecar::Loop& loop_;
-  Ends ends_;
+  Callbacks callbacks_;
   Compressor compressor_;
   std::map<Address, std::shared_ptr<SessionConnection>> sessions_;
 };
--- a/src/mesh/sidecar/departure_records.cpp
+++ b/src/mesh/sidecar/departure_records.cpp
@@ -8,71 +8,71 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kPatience = 700ms;  // of a call; its server waits a second
-constexpr Span kAskAgain = 200ms;
-constexpr std::size_t kMostRecorded = 256;
+constexpr Span kCallTimeout = 700ms;  // below the server's own timeout of 1 s
+constexpr Span kRetryInterval = 200ms;
+constexpr std::size_t kMaxRecorded = 256;
 
 }  // namespace
 
-bool DepartureRecords::isRecorded(const InstanceId& id, bool gone) const {
+bool DepartureRecords::isRecorded(const InstanceId& id, bool signedOff) const {
   const auto found = recorded_.find(id);
-  return found != recorded_.end() && (found->second || !gone);
+  return found != recorded_.end() && (found->second || !signedOff);
 }
 
-std::uint64_t DepartureRecords::wait(Span now, ServerCallNo call, const InstanceId& id, bool gone) {
-  auto found = std::find_if(waiting_.begin(), waiting_.end(), [&](const auto& entry) {
-    return entry.second.id == id && entry.second.gone == gone;
+std::uint64_t DepartureRecords::addCall(Span now, ServerCallNo call, const InstanceId& id, bool signedOff) {
+  auto found = std::find_if(pending_.begin(), pending_.end(), [&](const auto& entry) {
+    return entry.second.id == id && entry.second.signedOff == signedOff;
   });
-  if (found == waiting_.end())
-    found = waiting_.emplace(++last_, Waiting{id, gone, {}, {}, now + kPatience, now}).first;
+  if (found == pending_.end())
+    found = pending_.emplace(++lastNumber_, Pending{id, signedOff, {}, {}, now + kCallTimeout, now}).first;
   found->second.calls.push_back(call);
   return found->first;
 }
 
 std::vector<ServerCallNo> DepartureRecords::recorded(const Address& by, std::uint64_t number,
                                                      std::size_t needed) {
-  const auto found = waiting_.find(number);
-  if (found == waiting_.end()) return {};
-  Waiting& waiting = found->second;
-  waiting.by.insert(by);
-  if (waiting.by.size() < needed) return {};
-  remember(waiting.id, waiting.gone);
-  std::vector<ServerCallNo> calls = std::move(waiting.calls);
-  waiting_.erase(found);
+  const auto found = pending_.find(number);
+  if (found == pending_.end()) return {};
+  Pending& pending = found->second;
+  pending.recordedBy.insert(by);
+  if (pending.recordedBy.size() < needed) return {};
+  markRecorded(pending.id, pending.signedOff);
+  std::vector<ServerCallNo> calls = std::move(pending.calls);
+  pending_.erase(found);
   return calls;
 }
 
-void DepartureRecords::remember(const InstanceId& id, bool gone) {
-  const auto [found, added] = recorded_.try_emplace(id, gone);
-  found->second = found->second || gone;
+void DepartureRecords::markRecorded(const InstanceId& id, bool signedOff) {
+  const auto [found, added] = recorded_.try_emplace(id, signedOff);
+  found->second = found->second || signedOff;
   if (!added) return;
-  recordedInOrder_.push_back(id);
-  if (recordedInOrder_.size() <= kMostRecorded) return;
-  recorded_.erase(recordedInOrder_.front());
-  recordedInOrder_.erase(recordedInOrder_.begin());
+  recordedOrder_.push_back(id);
+  if (recordedOrder_.size() <= kMaxRecorded) return;
+  recorded_.erase(recordedOrder_.front());
+  recordedOrder_.erase(recordedOrder_.begin());
 }
 
-std::vector<ServerCallNo> DepartureRecords::overdue(Span now) {
+std::vector<ServerCallNo> DepartureRecords::expired(Span now) {
   std::vector<ServerCallNo> calls;
-  for (auto at = waiting_.begin(); at != waiting_.end();) {
-    if (at->second.until > now) {
+  for (auto at = pending_.begin(); at != pending_.end();) {
+    if (at->second.deadline > now) {
       ++at;
       continue;
     }
     calls.insert(calls.end(), at->second.calls.begin(), at->second.calls.end());
-    at = waiting_.erase(at);
+    at = pending_.erase(at);
   }
   return calls;
 }
 
-std::vector<DepartureRecords::Asked> DepartureRecords::repeats(Span now) {
-  std::vector<Asked> again;
-  for (auto& [number, waiting] : waiting_) {
-    if (waiting.askedAt + kAskAgain > now) continue;
-    waiting.askedAt = now;
-    again.push_back({number, waiting.id});
+std::vector<DepartureRecords::Request> DepartureRecords::retries(Span now) {
+  std::vector<Request> due;
+  for (auto& [number, pending] : pending_) {
+    if (pending.requestedAt + kRetryInterval > now) continue;
+    pending.requestedAt = now;
+    due.push_back({number, pending.id});
   }
-  return again;
+  return due;
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/departure_records.hpp
+++ b/src/mesh/sidecar/departure_records.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-// Acknowledgements that wait: what a server says of its leaving is acknowledged once control processes have
-// it on their disks, so that the end of this process takes nothing back. It owns which calls wait and what is
-// recorded; a state machine without I/O or clock. Bounded: the oldest are forgotten, and recorded anew when
-// the server calls again.
+// Tracks the recording of server departures (drains and sign-offs). A departure is acknowledged to the server
+// only after control processes have persisted it, so that it survives the end of this process. A state
+// machine without I/O or clock. Bounded: the oldest recorded departures are forgotten and are recorded again
+// if the server repeats its call.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,41 +16,42 @@
 
 namespace rackroute::mesh {
 
-using ServerCallNo = Id<struct ServerCallTag, std::uint64_t>;  // one call of a server
+using ServerCallNo = Id<struct ServerCallTag, std::uint64_t>;  // one HTTP call of the local server
 
 class DepartureRecords {
  public:
-  /// Whether that much is on the disks that it is to be on.
-  [[nodiscard]] bool isRecorded(const InstanceId& id, bool gone) const;
-  /// The call waits until it is. Returns the number of the record to ask control processes for.
-  std::uint64_t wait(Span now, ServerCallNo call, const InstanceId& id, bool gone);
-  /// A control process has that record on its disk. Returns the calls that are answered by it: all that wait
-  /// for it, once as many processes have it as are needed.
+  /// Whether the drain, or with `signedOff` the sign-off, has been recorded.
+  [[nodiscard]] bool isRecorded(const InstanceId& id, bool signedOff) const;
+  /// Adds a call that waits for the departure to be recorded. Returns the record number for control
+  /// processes.
+  std::uint64_t addCall(Span now, ServerCallNo call, const InstanceId& id, bool signedOff);
+  /// A control process has persisted the record. Returns the calls that can be acknowledged: all that wait
+  /// for the record once `needed` processes have it.
   std::vector<ServerCallNo> recorded(const Address& by, std::uint64_t number, std::size_t needed);
-  /// Calls that have waited for too long; their servers call again.
-  std::vector<ServerCallNo> overdue(Span now);
-  struct Asked {
+  /// Removes and returns the calls that have waited too long. Their servers will retry.
+  std::vector<ServerCallNo> expired(Span now);
+  struct Request {
     std::uint64_t number;
     InstanceId id;
   };
-  /// Records to be asked for again, as no answer has come for a while.
-  std::vector<Asked> repeats(Span now);
+  /// Records that must be requested again because they were not confirmed in time.
+  std::vector<Request> retries(Span now);
 
  private:
-  struct Waiting {
+  struct Pending {
     InstanceId id;
-    bool gone = false;
-    std::set<Address> by;
+    bool signedOff = false;
+    std::set<Address> recordedBy;
     std::vector<ServerCallNo> calls;
-    Span until{};
-    Span askedAt{};
+    Span deadline{};
+    Span requestedAt{};
   };
-  void remember(const InstanceId& id, bool gone);
+  void markRecorded(const InstanceId& id, bool signedOff);
 
-  std::map<std::uint64_t, Waiting> waiting_;
-  std::map<InstanceId, bool> recorded_;  // whether the sign-off is; else the drain
-  std::vector<InstanceId> recordedInOrder_;
-  std::uint64_t last_ = 0;
+  std::map<std::uint64_t, Pending> pending_;
+  std::map<InstanceId, bool> recorded_;  // true: the sign-off; false: the drain only
+  std::vector<InstanceId> recordedOrder_;
+  std::uint64_t lastNumber_ = 0;
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/main.cpp
+++ b/src/mesh/sidecar/main.cpp
@@ -1,4 +1,4 @@
-// The command line and the settings of the data plane's program.
+// The data-plane program: command line and settings.
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -16,47 +16,46 @@
 namespace rackroute::mesh {
 namespace {
 
-// One part in so many of the memory is for answers that repeats may want.
-constexpr std::size_t kKeptPart = 8;
-constexpr std::size_t kLeastMemoryMb = 64;  // that is reckoned with, whatever the settings tell
+// This fraction (1/n) of the memory may hold responses for repeated requests.
+constexpr std::size_t kKeptResponsesShare = 8;
+constexpr std::size_t kMinMemoryMb = 64;  // lower limit for the memory setting
 
-Sidecar::Built builtFrom(const Settings& settings) {
+Sidecar::Config makeConfig(const Settings& settings) {
   const auto wall = std::chrono::system_clock::now().time_since_epoch();
   const LifeNo life{static_cast<std::uint64_t>(std::chrono::duration_cast<Span>(wall).count())};
-  Sidecar::Built built;
-  built.router.node = settings.node;
-  built.router.zone = settings.zone;
-  built.router.service = settings.target;
-  built.router.allowance = {settings.retryRatio, settings.retrySlack, settings.retryWindow};
-  built.router.seed = life.value ^ std::hash<std::string>{}(settings.node.value);
-  built.admission.node = settings.node;
-  built.admission.at = settings.inbound;
-  built.admission.zone = settings.zone;
-  built.admission.life = life;
-  built.admission.service = settings.target;
-  built.admission.server = settings.server;
-  built.admission.drain = settings.drain;
-  built.admission.keyWindow = settings.keyWindow;
-  built.admission.mostKept = (std::max(settings.memoryMb, kLeastMemoryMb) << 20) / kKeptPart;
-  built.controlClient.node = settings.node;
-  built.controlClient.at = settings.inbound;
-  built.controlClient.zone = settings.zone;
-  built.controlClient.life = life;
+  Sidecar::Config config;
+  config.router.node = settings.node;
+  config.router.zone = settings.zone;
+  config.router.service = settings.target;
+  config.router.allowance = {settings.retryRatio, settings.retrySlack, settings.retryWindow};
+  config.router.seed = life.value ^ std::hash<std::string>{}(settings.node.value);
+  config.admission.node = settings.node;
+  config.admission.at = settings.inbound;
+  config.admission.zone = settings.zone;
+  config.admission.life = life;
+  config.admission.service = settings.target;
+  config.admission.server = settings.server;
+  config.admission.drain = settings.drain;
+  config.admission.keyWindow = settings.keyWindow;
+  config.admission.mostKept = (std::max(settings.memoryMb, kMinMemoryMb) << 20) / kKeptResponsesShare;
+  config.controlClient.node = settings.node;
+  config.controlClient.at = settings.inbound;
+  config.controlClient.zone = settings.zone;
+  config.controlClient.life = life;
   for (const Address& seed : settings.seeds)
-    built.controlClient.seeds.push_back(meshAddress(seed, settings.firstPort));
-  return built;
+    config.controlClient.seeds.push_back(meshAddress(seed, settings.firstPort));
+  return config;
 }
 
-int run(int count, char** words) {
-  CLI::App app("The data plane of a rackroute mesh: carries the requests of one machine.",
+int run(int argc, char** argv) {
+  CLI::App app("Data plane of a rackroute mesh: forwards the requests of one machine.",
                "rackroute-mesh-sidecar");
   std::string file;
   std::string level = "warning";
-  app.add_option("--settings", file, "The settings file; otherwise the one that RACKROUTE_CONFIG names");
-  app.add_option("--log", level, "The least that is logged")
-      ->check(CLI::IsMember({"info", "warning", "error"}));
+  app.add_option("--settings", file, "Settings file; default: the file named by RACKROUTE_CONFIG");
+  app.add_option("--log", level, "Minimum log level")->check(CLI::IsMember({"info", "warning", "error"}));
   app.set_version_flag("--version", kVersionText);
-  CLI11_PARSE(app, count, words);
+  CLI11_PARSE(app, argc, argv);
   openLog("sidecar", level);
   const std::string path = settingsPath(file);
   auto read = readSettingsFile(path);
@@ -65,16 +64,16 @@
   for (const auto& [name, at] :
        {std::pair("inbound", settings.inbound), std::pair("outbound", settings.outbound)}) {
     if (at.value.empty())
-      throw std::runtime_error("settings (" + path + "): listen_addrs." + name + " is missing");
+      throw std::runtime_error("settings (" + path + "): listen_addrs." + name + " is not set");
   }
   limitDescriptors(settings);
-  return runSidecar(settings, builtFrom(settings), path);
+  return runSidecar(settings, makeConfig(settings), path);
 }
 
 }  // namespace
 }  // namespace rackroute::mesh
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   return rackroute::mesh::guardedMain("rackroute-mesh-sidecar",
-                                      [&] { return rackroute::mesh::run(count, words); });
+                                      [&] { return rackroute::mesh::run(argc, argv); });
 }
--- a/src/mesh/sidecar/request_messages.cpp
+++ b/src/mesh/sidecar/request_messages.cpp
@@ -8,15 +8,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kHeadAllowance = 512;  // bytes of an answer's head, as memory
-constexpr std::uint32_t kNotThatServer = 421;
+constexpr std::size_t kHeadBytes = 512;  // estimated memory used by a response head
+constexpr std::uint32_t kMisdirectedRequest = 421;
 
-void beginRequest(std::string& head, const http::Message& request, std::string_view but) {
+void beginRequest(std::string& head, const http::Message& request, std::string_view excluded) {
   head += request.word(0);
   head += ' ';
   head += request.word(1);
   head += " HTTP/1.1\r\n";
-  for (const std::string_view lines : request.endToEnd(but)) head += lines;
+  for (const std::string_view lines : request.endToEnd(excluded)) head += lines;
 }
 http::Gather endRequest(std::string head, const RequestRef& request) {
   if (!request->body().empty() || request->length() || request->chunked())
@@ -29,38 +29,39 @@
   return pieces;
 }
 
-// A question after a request has its head, as the answer may be that request's, and no body.
-http::Gather endQuestion(std::string head) {
+// An outcome query has the head of its request, as it may be answered with that request's response, but no
+// body.
+http::Gather endQuery(std::string head) {
   http::Gather pieces;
   pieces.text(std::move(head) + "Content-Length: 0\r\n\r\n");
   return pieces;
 }
 
-ForwardResult resultOf(RequestOutcome how) {
-  switch (how) {
-    case RequestOutcome::answered:
+ForwardResult resultOf(RequestOutcome outcome) {
+  switch (outcome) {
+    case RequestOutcome::completed:
       return ForwardResult::told;
     case RequestOutcome::notSent:
-    case RequestOutcome::notWhole:  // the other process takes whole requests only
+    case RequestOutcome::partiallySent:  // the other process handles complete requests only
       return ForwardResult::notSent;
-    case RequestOutcome::silent:
+    case RequestOutcome::timedOut:
       return ForwardResult::silent;
-    case RequestOutcome::broken:
-    case RequestOutcome::spoilt:
+    case RequestOutcome::connectionLost:
+    case RequestOutcome::malformedResponse:
       break;
   }
   return ForwardResult::broken;
 }
 
-// Without word of the sidecar there, these are of what reads its connections: the request was not taken.
-bool neverRead(std::uint32_t status) {
+// Statuses without a reply header are sent while the other sidecar reads a request: it was not handled.
+bool isRejection(std::uint32_t status) {
   return status == 400 || status == 408 || status == 413 || status == 431;
 }
 
 }  // namespace
 
-std::optional<Span> patienceOf(const http::Message& request) {
-  const auto field = request.field(kDeadline);
+std::optional<Span> clientTimeout(const http::Message& request) {
+  const auto field = request.field(kDeadlineHeader);
   double milliseconds = 0;
   if (!field) return std::nullopt;
   const auto [end, error] = std::from_chars(field->data(), field->data() + field->size(), milliseconds);
@@ -68,24 +69,25 @@
   return Span(static_cast<Span::rep>(milliseconds * 1000));
 }
 
-http::Gather forwardMessage(const RequestRef& request, const ForwardRequest& ask) {
-  // Fields of this connection alone are named in Connection: the next process drops them, and whatever a
-  // client put under these names.
+http::Gather forwardMessage(const RequestRef& request, const ForwardRequest& forward) {
+  // The hop-by-hop headers are listed in Connection so that the next process removes them, including any that
+  // a client set itself.
   std::string head;
   beginRequest(head, *request, kForwardHeader);
-  head += std::string(kForwardHeader) + ": " + textOf(ask) +
+  head += std::string(kForwardHeader) + ": " + textOf(forward) +
           "\r\nConnection: rackroute-forward, rackroute-caller-service, rackroute-expect-instance, "
           "rackroute-deadline-ms\r\n";
-  if (ask.outcomeOf) return endQuestion(std::move(head));
+  if (forward.outcomeQuery) return endQuery(std::move(head));
   return endRequest(std::move(head), request);
 }
 
-http::Gather serverMessage(const RequestRef& request, const AdmissionAction& run) {
+http::Gather serverMessage(const RequestRef& request, const AdmissionAction& execution) {
   std::string head;
   beginRequest(head, *request, kForwardHeader);
-  head += std::string(kDeadline) + ": " + std::to_string(run.left / 1ms) + "\r\n";
-  head += std::string(kExpect) + ": " + run.instance.value + "\r\n";
-  if (!run.caller.value.empty()) head += std::string(kCaller) + ": " + run.caller.value + "\r\n";
+  head += std::string(kDeadlineHeader) + ": " + std::to_string(execution.left / 1ms) + "\r\n";
+  head += std::string(kExpectInstanceHeader) + ": " + execution.instance.value + "\r\n";
+  if (!execution.caller.value.empty())
+    head += std::string(kCallerServiceHeader) + ": " + execution.caller.value + "\r\n";
   return endRequest(std::move(head), request);
 }
 
@@ -93,42 +95,43 @@
   return std::string(kForwardHeader) + ": " + textOf(reply) + "\r\nConnection: rackroute-forward\r\n";
 }
 
-ForwardEnd forwardEnd(RequestOutcome how, const http::Message* answer) {
+ForwardEnd forwardEnd(RequestOutcome outcome, const http::Message* response) {
   ForwardEnd end;
-  end.result = resultOf(how);
-  if (answer == nullptr) return end;
-  end.status = answer->status();
-  const auto field = answer->field(kForwardHeader);
-  const auto read = field ? toldFrom(*field) : std::nullopt;
-  if (read) {
-    end.told = *read;
+  end.result = resultOf(outcome);
+  if (response == nullptr) return end;
+  end.status = response->status();
+  const auto field = response->field(kForwardHeader);
+  const auto reply = field ? parseForwardReply(*field) : std::nullopt;
+  if (reply) {
+    end.reply = *reply;
   } else {
-    end.result = neverRead(end.status) ? ForwardResult::notSent : ForwardResult::broken;
+    end.result = isRejection(end.status) ? ForwardResult::notSent : ForwardResult::broken;
   }
   return end;
 }
 
-ServerEnd serverEnd(RequestOutcome how, const RequestRef& answer) {
+ServerEnd serverEnd(RequestOutcome outcome, const RequestRef& response) {
   ServerEnd end;
-  switch (how) {
-    case RequestOutcome::answered:
+  switch (outcome) {
+    case RequestOutcome::completed:
       end.how = AtServer::answered;
-      end.answer.status = answer->status();
-      end.answer.notRun = answer->field(kNotRun).has_value() || answer->status() == kNotThatServer;
-      end.answer.bytes = answer;
-      end.answer.size = answer->body().size() + kHeadAllowance;
+      end.answer.status = response->status();
+      end.answer.notRun =
+          response->field(kNotRunHeader).has_value() || response->status() == kMisdirectedRequest;
+      end.answer.bytes = response;
+      end.answer.size = response->body().size() + kHeadBytes;
       break;
     case RequestOutcome::notSent:
       end.how = AtServer::notSent;
       break;
-    case RequestOutcome::silent:
+    case RequestOutcome::timedOut:
       end.how = AtServer::timedOut;
       break;
-    case RequestOutcome::spoilt:
+    case RequestOutcome::malformedResponse:
       end.how = AtServer::spoilt;
       break;
-    case RequestOutcome::notWhole:  // a server may begin before it has the whole body
-    case RequestOutcome::broken:
+    case RequestOutcome::partiallySent:  // a server may start before it has received the whole body
+    case RequestOutcome::connectionLost:
       break;
   }
   return end;
--- a/src/mesh/sidecar/request_messages.hpp
+++ b/src/mesh/sidecar/request_messages.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The HTTP messages in which a request passes the sidecars: to the one beside a server, and to that server;
-// and what their ends mean to the state machines. No sockets.
+// Builds the HTTP messages that carry a request from sidecar to sidecar and from a sidecar to its server, and
+// translates the results of these exchanges for the state machines. No sockets.
 
 #include <memory>
 #include <optional>
@@ -18,30 +18,29 @@
 
 using RequestRef = std::shared_ptr<const http::Message>;
 
-/// How long the client of a request waits, as its Rackroute-Deadline-Ms tells; none: it tells nothing
-/// readable.
-std::optional<Span> patienceOf(const http::Message& request);
+/// The client's timeout from Rackroute-Deadline-Ms; nullopt if it is missing or invalid.
+std::optional<Span> clientTimeout(const http::Message& request);
 
-/// A request, or a question after one, as it goes to the sidecar beside a server.
-http::Gather forwardMessage(const RequestRef& request, const ForwardRequest& ask);
-/// A request as the server here gets it.
-http::Gather serverMessage(const RequestRef& request, const AdmissionAction& run);
-/// The field in which a forward's answer tells its verdict, with the line that keeps it on this connection.
+/// A request, or an outcome query, to the sidecar of a server.
+http::Gather forwardMessage(const RequestRef& request, const ForwardRequest& forward);
+/// A request to the local server.
+http::Gather serverMessage(const RequestRef& request, const AdmissionAction& execution);
+/// The header lines that carry the reply to a forward, marked as hop-by-hop.
 std::string replyFields(const ForwardReply& reply);
 
-/// What came of a forward; told: the other sidecar's word, if there is one.
+/// The result of a forward. `reply` and `status` are set if the other sidecar responded.
 struct ForwardEnd {
   ForwardResult result = ForwardResult::broken;
-  ForwardReply told;
+  ForwardReply reply;
   std::uint32_t status = 0;
 };
-ForwardEnd forwardEnd(RequestOutcome how, const http::Message* answer);
+ForwardEnd forwardEnd(RequestOutcome outcome, const http::Message* response);
 
-/// What came of a request at the server here.
+/// The result of a request to the local server.
 struct ServerEnd {
   AtServer how = AtServer::broken;
   ServerAnswer answer;
 };
-ServerEnd serverEnd(RequestOutcome how, const RequestRef& answer);
+ServerEnd serverEnd(RequestOutcome outcome, const RequestRef& response);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/server_calls.cpp
+++ b/src/mesh/sidecar/server_heartbeat.cpp
@@ -1,4 +1,4 @@
-#include "mesh/sidecar/server_calls.hpp"
+#include "mesh/sidecar/server_heartbeat.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -6,7 +6,7 @@
 
 namespace rackroute::mesh {
 
-Result<Beat> readBeat(std::string_view id, std::string_view body) {
+Result<Beat> parseServerHeartbeat(std::string_view id, std::string_view body) {
   const nlohmann::json text = nlohmann::json::parse(body, nullptr, false);
   Beat beat;
   beat.id = {std::string(id)};
@@ -21,9 +21,9 @@
     beat.seq = observed.at("call_seq").get<std::uint64_t>();
     beat.coldLeft = readSpan(observed.value("cold_left", std::string("0ms"))).value_or(Span{0});
   } catch (const nlohmann::json::exception& error) {
-    Error refused = failure("beat", error.what());
-    refused.peer = std::string(id);
-    return refused;
+    Error invalid = failure("beat", error.what());
+    invalid.peer = std::string(id);
+    return invalid;
   }
   return beat;
 }
--- a/src/mesh/sidecar/shutdown_deadline.hpp
+++ b/src/mesh/sidecar/shutdown_deadline.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// When a process that was told to stop must have ended by itself. A busy or slowed machine runs its loop's
-// timers late, reads the signal late and ends late by as much again; what was measured of that is kept back
-// from the grace. No I/O, no clock.
+// When a stopping process must exit, so that it is not killed at the end of its grace period. A busy machine
+// runs timers late, handles the signal late and exits late, so part of the grace period is reserved according
+// to the observed timer lateness. No I/O, no clock.
 
 #include <algorithm>
 #include <chrono>
@@ -13,56 +13,55 @@
 
 class ShutdownDeadline {
  public:
-  /// grace: from the call to stop until the process is killed.
+  /// grace: time from the stop signal until the process is killed.
   explicit ShutdownDeadline(Span grace) : grace_(grace) {}
 
-  /// A timer of the loop ran this much after it was due.
-  void ranLate(Span now, Span late) {
-    if (now - begun_ >= kWindow) {
-      before_ = now - begun_ < 2 * kWindow ? latest_ : Span{0};
-      latest_ = Span{0};
-      begun_ = now;
+  /// An event loop timer ran late by this much.
+  void recordLateness(Span now, Span lateBy) {
+    if (now - windowStart_ >= kWindow) {
+      previousMax_ = now - windowStart_ < 2 * kWindow ? currentMax_ : Span{0};
+      currentMax_ = Span{0};
+      windowStart_ = now;
     }
-    latest_ = std::max(latest_, late);
+    currentMax_ = std::max(currentMax_, lateBy);
   }
-  /// The call to stop was read; it may have come as long ago as the loop is late.
-  void stop(Span now) {
-    readAt_ = now;
-    calledAt_ = now - lateness();
+  /// The stop signal was handled. It may have been sent earlier by as much as the loop is late.
+  void start(Span now) {
+    startedAt_ = now;
+    requestedAt_ = now - lateness();
   }
-  [[nodiscard]] bool stopping() const { return readAt_ != Span::max(); }
-  /// Half of the grace is served out in any case, from when the call was read.
-  [[nodiscard]] Span endAt() const {
-    const Span kept = std::max({kLeastKept, grace_ / kKeptPart, kLatenessKept * lateness()});
-    return std::max(readAt_ + grace_ / 2, calledAt_ + grace_ - kept);
+  [[nodiscard]] bool stopping() const { return startedAt_ != Span::max(); }
+  /// When to exit. At least half of the grace period is used, counted from when the signal was handled.
+  [[nodiscard]] Span exitAt() const {
+    const Span reserve = std::max({kMinReserve, grace_ / kReserveShare, kLatenessFactor * lateness()});
+    return std::max(startedAt_ + grace_ / 2, requestedAt_ + grace_ - reserve);
   }
-  /// Whether a request may be taken that usually lasts so long, and at the most so long. In the first half of
-  /// the grace what is usual counts, not how long its client would wait: that would turn away a machine's
-  /// long look-ups for as long as it was sent any; what takes longer has been at work for half of the grace
-  /// by then. Later only what surely ends in time may be taken.
-  [[nodiscard]] bool takes(Span now, Span usual, Span longest) const {
+  /// Whether to accept a request with the given typical and maximum durations. In the first half of the grace
+  /// period the typical duration must fit; going by the client's timeout would reject all requests with long
+  /// timeouts. In the second half the maximum must fit, so that no accepted request is cut off.
+  [[nodiscard]] bool accepts(Span now, Span typical, Span maximum) const {
     if (!stopping()) return true;
-    const bool firstHalf = now < calledAt_ + grace_ / 2 - kHalfMargin;
-    return now + (firstHalf ? usual : longest) + kLastAnswer <= endAt();
+    const bool firstHalf = now < requestedAt_ + grace_ / 2 - kHalfMargin;
+    return now + (firstHalf ? typical : maximum) + kResponseMargin <= exitAt();
   }
-  /// The most that a timer was late in the last one to two windows.
-  [[nodiscard]] Span lateness() const { return std::max(latest_, before_); }
+  /// The maximum timer lateness in the last one to two windows.
+  [[nodiscard]] Span lateness() const { return std::max(currentMax_, previousMax_); }
 
  private:
   static constexpr Span kWindow = std::chrono::seconds(2);
-  static constexpr Span kLeastKept = std::chrono::milliseconds(400);  // of the grace, to end by itself
-  static constexpr Span kLastAnswer =
-      std::chrono::milliseconds(150);  // for an answer to leave, before the end
-  static constexpr Span kHalfMargin = std::chrono::milliseconds(400);  // a client's way to here, at its worst
-  static constexpr int kKeptPart = 8;  // one part in so many, where that is more: a pass over many sockets
-  static constexpr int kLatenessKept = 3;  // times the lateness: for a pass under way, the last, and the exit
+  static constexpr Span kMinReserve = std::chrono::milliseconds(400);      // of the grace period
+  static constexpr Span kResponseMargin = std::chrono::milliseconds(150);  // for the response to be sent
+  static constexpr Span kHalfMargin = std::chrono::milliseconds(400);      // maximum delay from a client
+  static constexpr int kReserveShare = 8;  // 1/n of the grace period is reserved, if that is more
+  /// Times the lateness is reserved: for the current and the last loop iteration, and the exit.
+  static constexpr int kLatenessFactor = 3;
 
   Span grace_;
-  Span readAt_ = Span::max();
-  Span calledAt_{};
-  Span begun_{};  // of the window
-  Span latest_{};
-  Span before_{};  // in the window before it
+  Span startedAt_ = Span::max();
+  Span requestedAt_{};
+  Span windowStart_{};
+  Span currentMax_{};
+  Span previousMax_{};  // of the previous window
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/sidecar.cpp
+++ b/src/mesh/sidecar/sidecar.cpp
@@ -9,63 +9,63 @@
 
 using namespace std::chrono_literals;
 
-// The platform sends clients for two seconds more in any case. Guards against a fleet that is restarted
-// machine by machine and has the servers of all that wait stand idle.
-constexpr Span kServesOn = 1200ms;
-// Guards against a large configuration, or a storm of changes, whose routes are all read anew for each part.
-constexpr Span kGather = 60ms;
-// Of the memory for answers that repeats may want, one part in so many is for those whose way back broke.
-constexpr std::size_t kOutcomePart = 4;
-// Control processes that have on disk what a server said of its leaving, before it is acknowledged: one disk
-// may be lost.
-constexpr std::size_t kRecordCopies = 2;
+// How long requests are still admitted after the start of the drain. Clients keep sending requests for about
+// two seconds, and without the delay a rolling restart would leave servers idle.
+constexpr Span kAdmissionDrainDelay = 1200ms;
+// Delay before changed items are applied, so that the parts of a large configuration and bursts of changes
+// are applied together.
+constexpr Span kConfigureDelay = 60ms;
+// The responses kept for outcome queries may use this fraction (1/n) of the memory for kept responses.
+constexpr std::size_t kOutcomeShare = 4;
+// Control processes that must persist a server's departure before it is acknowledged; one disk may be lost.
+constexpr std::size_t kRecordReplicas = 2;
 
-ForwardOutcomes::Limits outcomeLimits(const Admission::Built& built) {
+ForwardOutcomes::Limits outcomeLimits(const Admission::Built& admission) {
   ForwardOutcomes::Limits limits;
-  limits.answerBytes = built.mostKept / kOutcomePart;
+  limits.maxResponseBytes = admission.mostKept / kOutcomeShare;
   return limits;
 }
 
-void append(ControlClientActions acts, SidecarActions& out) {
-  std::move(acts.begin(), acts.end(), std::back_inserter(out.control));
+void append(ControlClientActions actions, SidecarActions& out) {
+  std::move(actions.begin(), actions.end(), std::back_inserter(out.control));
 }
 
 }  // namespace
 
-Sidecar::Sidecar(Built built)
-    : built_(std::move(built)),
-      router_(built_.router),
-      admission_(built_.admission),
-      outcomes_(built_.admission.life, outcomeLimits(built_.admission)),
-      controlClient_(built_.controlClient) {}
+Sidecar::Sidecar(Config config)
+    : config_(std::move(config)),
+      router_(config_.router),
+      admission_(config_.admission),
+      outcomes_(config_.admission.life, outcomeLimits(config_.admission)),
+      controlClient_(config_.controlClient) {}
 
-void Sidecar::take(Span now, AdmissionActions acts, SidecarActions& out) {
+void Sidecar::handle(Span now, AdmissionActions actions, SidecarActions& out) {
   ClaimRequest claims;
   claims.epoch = controlClient_.voters().epoch;
-  claims.at = built_.admission.at;
+  claims.at = config_.admission.at;
   ReleaseRequest released;
-  released.at = built_.admission.at;
+  released.at = config_.admission.at;
   ServersUpdate servers;
-  for (AdmissionAction& act : acts) {
-    switch (act.kind) {
+  for (AdmissionAction& action : actions) {
+    switch (action.kind) {
       case AdmissionAction::Kind::run:
       case AdmissionAction::Kind::cancel:
-        out.admission.push_back(std::move(act));
+        out.admission.push_back(std::move(action));
         break;
       case AdmissionAction::Kind::answer:
-        answer(now, std::move(act), out);
+        respond(now, std::move(action), out);
         break;
       case AdmissionAction::Kind::claim:
-        claims.claims.emplace_back(act.claim, act.key);
+        claims.claims.emplace_back(action.claim, action.key);
         break;
       case AdmissionAction::Kind::giveBack:
-        released.claims.emplace_back(act.claim, act.key);
+        released.claims.emplace_back(action.claim, action.key);
         break;
       case AdmissionAction::Kind::tell:
-        // The own caller need not wait for the way round.
-        router_.told(now, act.served, true);
-        servers.servers.push_back({act.served, true});
-        out.told.push_back(std::move(act.served));
+        // The local router need not wait for the update to come back from the control plane.
+        router_.told(now, action.served, true);
+        servers.servers.push_back({action.served, true});
+        out.serverChanges.push_back(std::move(action.served));
         break;
     }
   }
@@ -74,122 +74,124 @@
   if (!released.claims.empty()) append(controlClient_.sendToVoters(released), out);
 }
 
-// The forward's answer, also for those who ask what came of it.
-void Sidecar::answer(Span now, AdmissionAction act, SidecarActions& out) {
-  for (const AskNo waiter : outcomes_.ended(now, act.ask, act.told, act.bytes, act.size)) {
-    AdmissionAction same = act;
+// Sends the response to a forward, and to the outcome queries that wait for it.
+void Sidecar::respond(Span now, AdmissionAction action, SidecarActions& out) {
+  for (const InboundRequestId waiter :
+       outcomes_.complete(now, action.ask, action.told, action.bytes, action.size)) {
+    AdmissionAction same = action;
     same.ask = waiter;
     out.admission.push_back(std::move(same));
   }
-  out.admission.push_back(std::move(act));
+  out.admission.push_back(std::move(action));
 }
 
-void Sidecar::take(Span now, ControlClientActions acts, SidecarActions& out) {
+void Sidecar::handle(Span now, ControlClientActions actions, SidecarActions& out) {
   Claims& claims = admission_.claims();
-  for (ControlClientAction& act : acts) {
-    switch (act.kind) {
-      case ControlClientAction::Kind::say:
+  for (ControlClientAction& action : actions) {
+    switch (action.kind) {
+      case ControlClientAction::Kind::send:
       case ControlClientAction::Kind::dial:
-      case ControlClientAction::Kind::hangUp:
-      case ControlClientAction::Kind::refused:
-        out.control.push_back(std::move(act));
+      case ControlClientAction::Kind::disconnect:
+      case ControlClientAction::Kind::protocolError:
+        out.control.push_back(std::move(action));
         break;
-      case ControlClientAction::Kind::server:
-        router_.told(now, act.news.served, act.news.heard);
-        take(now, admission_.adopt(now, act.news.served), out);
+      case ControlClientAction::Kind::serverUpdate:
+        router_.told(now, action.serverStatus.served, action.serverStatus.heard);
+        handle(now, admission_.adopt(now, action.serverStatus.served), out);
         break;
       case ControlClientAction::Kind::recorded: {
-        const std::size_t needed = std::clamp<std::size_t>(controlClient_.sessions(), 1, kRecordCopies);
-        for (const ServerCallNo call : departures_.recorded(act.at, act.record, needed))
+        const std::size_t needed = std::clamp<std::size_t>(controlClient_.openSessions(), 1, kRecordReplicas);
+        for (const ServerCallNo call : departures_.recorded(action.at, action.record, needed))
           out.answers.push_back({call, true});
         break;
       }
-      case ControlClientAction::Kind::configured:
+      case ControlClientAction::Kind::itemsChanged:
         if (router_.routes().services().empty()) {
           configure(now, out);
-        } else if (!readsAt_) {
-          readsAt_ = now + kGather;
+        } else if (!configureAt_) {
+          configureAt_ = now + kConfigureDelay;
         }
         break;
-      case ControlClientAction::Kind::voters:
+      case ControlClientAction::Kind::votersChanged:
         claims.electorate(controlClient_.voters());
-        for (const VoterId& voter : controlClient_.reachedVoters()) askForVotes(voter, out);
+        for (const VoterId& voter : controlClient_.reachedVoters()) requestVotes(voter, out);
         break;
       case ControlClientAction::Kind::voterReady:
-        askForVotes(act.voter, out);
+        requestVotes(action.voter, out);
         break;
       case ControlClientAction::Kind::vote:
-        if (const auto ended = claims.vote(act.voter, act.epoch, act.claim, act.granted, act.holder))
-          take(now, admission_.claimEnded(now, *ended), out);
+        if (const auto ended =
+                claims.vote(action.voter, action.epoch, action.claim, action.granted, action.holder))
+          handle(now, admission_.claimEnded(now, *ended), out);
         break;
-      case ControlClientAction::Kind::life:
-        take(now, admission_.followLife(act.life), out);
+      case ControlClientAction::Kind::highestLife:
+        handle(now, admission_.followLife(action.life), out);
         break;
-      case ControlClientAction::Kind::welcomed:
-        tellServers(act.at, out);
+      case ControlClientAction::Kind::sessionReady:
+        sendServers(action.at, out);
         break;
-      case ControlClientAction::Kind::members:
-        if (controlClient_.members() > 0) router_.processes(controlClient_.members());
+      case ControlClientAction::Kind::memberCount:
+        if (controlClient_.memberCount() > 0) router_.processes(controlClient_.memberCount());
         break;
     }
   }
   claims.reach(controlClient_.reachedVoters().size());
 }
 
-void Sidecar::tellServers(const Address& control, SidecarActions& out) {
+void Sidecar::sendServers(const Address& control, SidecarActions& out) {
   ServersUpdate servers;
   for (const Served& served : admission_.servers()) servers.servers.push_back({served, true});
   if (!servers.servers.empty()) append(controlClient_.sendTo(control, servers), out);
 }
 
-void Sidecar::askForVotes(const VoterId& voter, SidecarActions& out) {
+void Sidecar::requestVotes(const VoterId& voter, SidecarActions& out) {
   ClaimRequest request;
   request.epoch = controlClient_.voters().epoch;
-  request.at = built_.admission.at;
+  request.at = config_.admission.at;
   for (const Claims::Open& open : admission_.claims().without(voter))
     request.claims.emplace_back(open.no, open.key);
   if (!request.claims.empty()) append(controlClient_.sendTo(voter.at, request), out);
 }
 
-SidecarActions Sidecar::seeds(Span now, std::vector<Address> seeds) {
+SidecarActions Sidecar::setSeeds(Span now, std::vector<Address> seeds) {
   SidecarActions out;
-  take(now, controlClient_.seeds(now, std::move(seeds)), out);
+  handle(now, controlClient_.setSeeds(now, std::move(seeds)), out);
   return out;
 }
 
 void Sidecar::configure(Span now, SidecarActions& out) {
-  readsAt_.reset();
+  configureAt_.reset();
   router_.configured(controlClient_.items());
-  take(now, controlClient_.follow(router_.routes().services()), out);
+  handle(now, controlClient_.follow(router_.routes().services()), out);
 }
 
-SidecarActions Sidecar::asked(Span now, CallNo no, const Asked& asked) {
+SidecarActions Sidecar::requestReceived(Span now, CallNo no, const Asked& request) {
   SidecarActions out;
-  out.routing = router_.asked(now, no, asked);
+  out.routing = router_.asked(now, no, request);
   return out;
 }
 
-SidecarActions Sidecar::forwarded(Span now, CallNo no, TryNo sent, ForwardResult how,
-                                  const ForwardReply& told, std::uint32_t status,
-                                  std::shared_ptr<const void> bytes) {
+SidecarActions Sidecar::forwardCompleted(Span now, CallNo no, TryNo sent, ForwardResult how,
+                                         const ForwardReply& reply, std::uint32_t status,
+                                         std::shared_ptr<const void> bytes) {
   SidecarActions out;
-  out.routing = router_.forwarded(now, no, sent, how, told, status, std::move(bytes));
+  out.routing = router_.forwarded(now, no, sent, how, reply, status, std::move(bytes));
   return out;
 }
 
-SidecarActions Sidecar::forwardRequested(Span now, AskNo no, const ForwardRequest& ask,
-                                         const std::optional<std::string>& key) {
+SidecarActions Sidecar::forwardReceived(Span now, InboundRequestId no, const ForwardRequest& request,
+                                        const std::optional<std::string>& key) {
   SidecarActions out;
-  ForwardOutcomes::Arrival arrival = outcomes_.arrived(now, no, ask);
+  ForwardOutcomes::Arrival arrival = outcomes_.receive(now, no, request);
   switch (arrival.kind) {
     case ForwardOutcomes::Arrival::Kind::admit:
-      take(now, admission_.asked(now, no, ask, key), out);
+      handle(now, admission_.asked(now, no, request, key), out);
       break;
-    case ForwardOutcomes::Arrival::Kind::answer: {
-      AdmissionAction act{AdmissionAction::Kind::answer, no};
-      act.told = std::move(arrival.reply);
-      act.bytes = std::move(arrival.bytes);
-      out.admission.push_back(std::move(act));
+    case ForwardOutcomes::Arrival::Kind::respond: {
+      AdmissionAction action{AdmissionAction::Kind::answer, no};
+      action.told = std::move(arrival.reply);
+      action.bytes = std::move(arrival.bytes);
+      out.admission.push_back(std::move(action));
       break;
     }
     case ForwardOutcomes::Arrival::Kind::wait:
@@ -198,38 +200,39 @@
   return out;
 }
 
-SidecarActions Sidecar::ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer) {
+SidecarActions Sidecar::executionEnded(Span now, InboundRequestId no, AtServer how,
+                                       const ServerAnswer& answer) {
   SidecarActions out;
-  take(now, admission_.ran(now, no, how, answer), out);
+  handle(now, admission_.ran(now, no, how, answer), out);
   return out;
 }
 
-SidecarActions Sidecar::abandoned(Span now, CallNo no) {
+SidecarActions Sidecar::requestAbandoned(Span now, CallNo no) {
   SidecarActions out;
   out.routing = router_.abandoned(now, no);
   return out;
 }
 
-SidecarActions Sidecar::forwardAbandoned(Span now, AskNo no) {
+SidecarActions Sidecar::forwardAbandoned(Span now, InboundRequestId no) {
   SidecarActions out;
-  take(now, admission_.abandoned(now, no), out);
+  handle(now, admission_.abandoned(now, no), out);
   return out;
 }
 
-SidecarActions Sidecar::beat(Span now, ServerCallNo call, const Beat& beat) {
+SidecarActions Sidecar::serverCalled(Span now, ServerCallNo call, const Beat& beat) {
   SidecarActions out;
-  take(now, admission_.beat(now, beat), out);
-  const bool leaves = beat.draining || beat.gone;
-  if (!leaves || departures_.isRecorded(beat.id, beat.gone)) {
+  handle(now, admission_.beat(now, beat), out);
+  const bool departs = beat.draining || beat.gone;
+  if (!departs || departures_.isRecorded(beat.id, beat.gone)) {
     out.answers.push_back({call, true});
   } else {
-    askToRecord(departures_.wait(now, call, beat.id, beat.gone), beat.id, out);
+    requestRecord(departures_.addCall(now, call, beat.id, beat.gone), beat.id, out);
   }
   return out;
 }
 
-// Guards against an acknowledgement that is forgotten with this process.
-void Sidecar::askToRecord(std::uint64_t number, const InstanceId& id, SidecarActions& out) {
+// Asks all control processes to persist the state of a server, so that it survives the end of this process.
+void Sidecar::requestRecord(std::uint64_t number, const InstanceId& id, SidecarActions& out) {
   ServersUpdate update;
   update.record = number;
   for (const Served& served : admission_.servers()) {
@@ -238,56 +241,56 @@
   append(controlClient_.sendAll(update), out);
 }
 
-SidecarActions Sidecar::reached(Span now, const Address& control) {
+SidecarActions Sidecar::sessionOpened(Span now, const Address& control) {
   SidecarActions out;
-  take(now, controlClient_.reached(now, control), out);
+  handle(now, controlClient_.sessionOpened(now, control), out);
   return out;
 }
 
-SidecarActions Sidecar::ended(Span now, const Address& control) {
+SidecarActions Sidecar::sessionClosed(Span now, const Address& control) {
   SidecarActions out;
-  take(now, controlClient_.ended(now, control), out);
-  // Claims that wait for votes which can't come any more hold room.
-  take(now, admission_.tick(now), out);
+  handle(now, controlClient_.sessionClosed(now, control), out);
+  // Fails claims that can no longer get enough votes, which releases their capacity.
+  handle(now, admission_.tick(now), out);
   return out;
 }
 
-SidecarActions Sidecar::heard(Span now, const Address& control, const nlohmann::json& text) {
+SidecarActions Sidecar::handleMessage(Span now, const Address& control, const nlohmann::json& text) {
   SidecarActions out;
-  served_ = served_ || serving(now);
-  take(now, controlClient_.heard(now, control, text), out);
+  hasServed_ = hasServed_ || serving(now);
+  handle(now, controlClient_.handleMessage(now, control, text), out);
   return out;
 }
 
 SidecarActions Sidecar::tick(Span now) {
   SidecarActions out;
   out.routing = router_.tick(now);
-  if (readsAt_ && *readsAt_ <= now) configure(now, out);
-  if (admissionCloses_ && *admissionCloses_ <= now) {
-    admissionCloses_ = Span::max();
-    take(now, admission_.leave(now), out);
+  if (configureAt_ && *configureAt_ <= now) configure(now, out);
+  if (admissionClosesAt_ && *admissionClosesAt_ <= now) {
+    admissionClosesAt_ = Span::max();
+    handle(now, admission_.leave(now), out);
   }
-  take(now, admission_.tick(now), out);
+  handle(now, admission_.tick(now), out);
   outcomes_.tick(now);
-  if (controlClientTick_ <= now) {
-    for (const ServerCallNo call : departures_.overdue(now)) out.answers.push_back({call, false});
-    for (const auto& [number, id] : departures_.repeats(now)) askToRecord(number, id, out);
-    controlClientTick_ = now + ControlClient::tickEvery();
-    take(now, controlClient_.tick(now), out);
+  if (nextControlClientTick_ <= now) {
+    for (const ServerCallNo call : departures_.expired(now)) out.answers.push_back({call, false});
+    for (const auto& [number, id] : departures_.retries(now)) requestRecord(number, id, out);
+    nextControlClientTick_ = now + ControlClient::tickInterval();
+    handle(now, controlClient_.tick(now), out);
   }
   return out;
 }
 
-SidecarActions Sidecar::leave(Span now) {
-  leaving_ = true;
-  if (!admissionCloses_) admissionCloses_ = now + kServesOn;
+SidecarActions Sidecar::startDrain(Span now) {
+  draining_ = true;
+  if (!admissionClosesAt_) admissionClosesAt_ = now + kAdmissionDrainDelay;
   return tick(now);
 }
 
 Span Sidecar::nextTick(Span now) const {
-  Span next = controlClientTick_;
-  if (admissionCloses_) next = std::min(next, *admissionCloses_);
-  if (readsAt_) next = std::min(next, *readsAt_);
+  Span next = nextControlClientTick_;
+  if (admissionClosesAt_) next = std::min(next, *admissionClosesAt_);
+  if (configureAt_) next = std::min(next, *configureAt_);
   if (const auto at = router_.nextTick()) next = std::min(next, *at);
   if (const auto at = admission_.nextTick()) next = std::min(next, *at);
   return std::max(next, now);
--- a/src/mesh/sidecar/sidecar.hpp
+++ b/src/mesh/sidecar/sidecar.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// The data-plane process as one state machine: the caller's decisions, admission to the server here, and what
-// is heard from the control plane, put together. It owns these three and decides nothing of its own; no I/O,
-// no clock.
+// The data-plane process as a single state machine without I/O or clock. Connects request routing for local
+// clients, admission to the local server, and the client of the control plane.
 
 #include <cstdint>
 #include <memory>
@@ -18,82 +17,85 @@
 
 namespace rackroute::mesh {
 
-/// The answer to a call of a server.
+/// The response to a call of the local server.
 struct ServerCallAnswer {
   ServerCallNo call;
-  /// False: what it said of its leaving is not on any control process's disk yet. It is to call again.
+  /// False: the departure has not been persisted by the control plane yet; the server must retry.
   bool acknowledged = true;
 };
 
-/// All that the process is to do after an input, in this order.
+/// The actions to execute after an input, in this order.
 struct SidecarActions {
   RoutingActions routing;
   AdmissionActions admission;    // run, answer and cancel only
-  ControlClientActions control;  // say, dial, hangUp and refused only
+  ControlClientActions control;  // send, dial, disconnect and protocolError only
   std::vector<ServerCallAnswer> answers;
-  std::vector<Served> told;  // for the log: what changed about servers here
+  std::vector<Served> serverChanges;  // changed local servers, for the log
 };
 
 class Sidecar {
  public:
-  struct Built {
+  struct Config {
     RequestRouter::Built router;
     Admission::Built admission;
-    ControlClient::Built controlClient;
+    ControlClient::Config controlClient;
   };
-  explicit Sidecar(Built built);
+  explicit Sidecar(Config config);
 
-  SidecarActions asked(Span now, CallNo no, const Asked& asked);
-  SidecarActions forwarded(Span now, CallNo no, TryNo sent, ForwardResult how, const ForwardReply& told,
-                           std::uint32_t status, std::shared_ptr<const void> bytes);
-  SidecarActions forwardRequested(Span now, AskNo no, const ForwardRequest& ask,
-                                  const std::optional<std::string>& key);
-  SidecarActions ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer);
-  /// The client of a request here has closed its connection.
-  SidecarActions abandoned(Span now, CallNo no);
-  /// The connection that another process's request came on has ended before its answer.
-  SidecarActions forwardAbandoned(Span now, AskNo no);
-  /// A call of the server here. It is answered at once, or later where it says that it leaves.
-  SidecarActions beat(Span now, ServerCallNo call, const Beat& beat);
-  SidecarActions reached(Span now, const Address& control);
-  SidecarActions ended(Span now, const Address& control);
-  /// One message of a control process; see ControlClient::heard.
-  SidecarActions heard(Span now, const Address& control, const nlohmann::json& text);
-  void alive(Span now, const Address& control) { controlClient_.alive(now, control); }
+  SidecarActions requestReceived(Span now, CallNo no, const Asked& request);
+  SidecarActions forwardCompleted(Span now, CallNo no, TryNo sent, ForwardResult how,
+                                  const ForwardReply& reply, std::uint32_t status,
+                                  std::shared_ptr<const void> bytes);
+  SidecarActions forwardReceived(Span now, InboundRequestId no, const ForwardRequest& request,
+                                 const std::optional<std::string>& key);
+  SidecarActions executionEnded(Span now, InboundRequestId no, AtServer how, const ServerAnswer& respond);
+  /// The client of a local request has closed its connection.
+  SidecarActions requestAbandoned(Span now, CallNo no);
+  /// The connection of a forward received from another process was closed before its response.
+  SidecarActions forwardAbandoned(Span now, InboundRequestId no);
+  /// The local server reported its state. Answered at once, or for a departure once that is recorded.
+  SidecarActions serverCalled(Span now, ServerCallNo call, const Beat& beat);
+  SidecarActions sessionOpened(Span now, const Address& control);
+  SidecarActions sessionClosed(Span now, const Address& control);
+  /// Handles one message of a control process; see ControlClient::handleMessage.
+  SidecarActions handleMessage(Span now, const Address& control, const nlohmann::json& text);
+  void markAlive(Span now, const Address& control) { controlClient_.markAlive(now, control); }
   SidecarActions tick(Span now);
-  /// The process leaves: not ready from now on; its server gets new work for a while yet.
-  SidecarActions leave(Span now);
-  SidecarActions seeds(Span now, std::vector<Address> seeds);
-  /// When tick() is to be called at the latest.
+  /// Starts the shutdown: reports not ready from now on, and stops admitting requests after a delay.
+  SidecarActions startDrain(Span now);
+  SidecarActions setSeeds(Span now, std::vector<Address> seeds);
+  /// When tick() must be called at the latest.
   [[nodiscard]] Span nextTick(Span now) const;
-  /// Whether requests are taken: what is in force is known, and read as routes.
-  [[nodiscard]] bool serving(Span now) const { return controlClient_.ready(now) && (served_ || !readsAt_); }
-  [[nodiscard]] bool ready(Span now) const { return !leaving_ && serving(now); }
-  [[nodiscard]] std::size_t atWork() const { return router_.atWork() + admission_.atWork(); }
+  /// Whether requests are accepted: the configuration is known and has been applied to the routes.
+  [[nodiscard]] bool serving(Span now) const {
+    return controlClient_.ready(now) && (hasServed_ || !configureAt_);
+  }
+  [[nodiscard]] bool ready(Span now) const { return !draining_ && serving(now); }
+  [[nodiscard]] std::size_t inFlight() const { return router_.atWork() + admission_.atWork(); }
   [[nodiscard]] const RequestRouter& router() const { return router_; }
   [[nodiscard]] const Admission& admission() const { return admission_; }
   [[nodiscard]] const ControlClient& controlClient() const { return controlClient_; }
 
  private:
-  void take(Span now, AdmissionActions acts, SidecarActions& out);
-  void take(Span now, ControlClientActions acts, SidecarActions& out);
-  void tellServers(const Address& control, SidecarActions& out);
-  void askToRecord(std::uint64_t number, const InstanceId& id, SidecarActions& out);
-  void askForVotes(const VoterId& voter, SidecarActions& out);
+  void handle(Span now, AdmissionActions actions, SidecarActions& out);
+  void handle(Span now, ControlClientActions actions, SidecarActions& out);
+  void sendServers(const Address& control, SidecarActions& out);
+  void requestRecord(std::uint64_t number, const InstanceId& id, SidecarActions& out);
+  void requestVotes(const VoterId& voter, SidecarActions& out);
   void configure(Span now, SidecarActions& out);
-  void answer(Span now, AdmissionAction act, SidecarActions& out);
+  void respond(Span now, AdmissionAction action, SidecarActions& out);
 
-  Built built_;
+  Config config_;
   RequestRouter router_;
   Admission admission_;
   ForwardOutcomes outcomes_;
   ControlClient controlClient_;
   DepartureRecords departures_;
-  Span controlClientTick_{};
-  std::optional<Span> readsAt_;          // when the items in force are to be read as routes
-  std::optional<Span> admissionCloses_;  // when nothing more is admitted
-  bool served_ = false;                  // requests were taken before
-  bool leaving_ = false;
+  Span nextControlClientTick_{};
+  std::optional<Span> configureAt_;        // when changed items are applied to the routes
+  std::optional<Span> admissionClosesAt_;  // when admission stops
+  bool hasServed_ = false;                 // requests have been accepted before
+  bool draining_ = false;
 };
 
 }  // namespace rackroute::mesh
