--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -14,9 +14,9 @@
 #include "mesh/forwarding/forward_counts.hpp"
 #include "mesh/sidecar/control_sessions.hpp"
 #include "mesh/sidecar/request_messages.hpp"
-#include "mesh/sidecar/server_calls.hpp"
+#include "mesh/sidecar/server_heartbeat.hpp"
 #include "mesh/sidecar/shutdown_deadline.hpp"
-#include "mesh/transport/calls.hpp"
+#include "mesh/transport/api_endpoints.hpp"
 #include "mesh/transport/event_loop.hpp"
 #include "mesh/transport/http_client.hpp"
 #include "mesh/transport/http_server_connection.hpp"
@@ -30,82 +30,87 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kDialForward = 300ms;  // to another process; some hundred trips
-constexpr Span kDialServer = 500ms;   // to the server here; its queue of connections may be full for a while
-constexpr Span kIdleForward =
-    20s;                          // a connection between processes is kept unused; the other keeps it longer
-constexpr Span kIdleServer = 4s;  // to the server, where it announces nothing
-constexpr Span kUnread = 1500ms;  // without word of another machine's kernel, it is gone
-constexpr Span kSpare = 250ms;    // beyond the client's deadline, for a server's own word that it is over
-constexpr Span kForwardSpare = 300ms;          // beyond that, for the process beside it
-constexpr std::size_t kMostIdle = 64;          // connections for one address
-constexpr std::size_t kMostAnswer = 64 << 20;  // bytes of a body
-constexpr Span kStillComing =
-    2600ms;                         // after the call to stop: two missed looks at the readiness, and a margin
-constexpr Span kQuiet = 300ms;      // without work before it ends
-constexpr Span kNextLife = 900ms;   // from the end of a process until the next one takes requests
-constexpr Span kUnsent = 20ms;      // before its client's time is over, a request is not sent any more
-constexpr Span kLook = 50ms;        // between looks while it ends
-constexpr Span kCountsEvery = 5s;   // between lines of the log on how forwards ended
-constexpr Span kForwardIdle = 60s;  // a connection from another process; that one ends it first
+constexpr Span kForwardDialTimeout = 300ms;  // to another sidecar
+constexpr Span kServerDialTimeout = 500ms;   // to the local server, whose accept queue may be full
+constexpr Span kForwardIdleTimeout = 20s;    // shorter than the other side's kInboundIdleTimeout
+constexpr Span kServerIdleTimeout = 4s;      // to the server, unless it sends Keep-Alive
+constexpr Span kUserTimeout = 1500ms;        // TCP_USER_TIMEOUT to other machines
+constexpr Span kServerMargin = 250ms;   // beyond the client's deadline, for the server's own timeout response
+constexpr Span kForwardMargin = 300ms;  // in addition, for the sidecar of the server
+constexpr std::size_t kMaxIdle = 64;    // connections per address
+constexpr std::size_t kMaxBody = 64 << 20;  // bytes of a body
+constexpr Span kMinDrain = 2600ms;       // after the stop signal: two readiness probe intervals and a margin
+constexpr Span kIdleBeforeExit = 300ms;  // without requests, before the process exits
+constexpr Span kRestartTime = 900ms;     // from the exit of a process until its successor accepts requests
+constexpr Span kSendMargin = 20ms;       // before the client's deadline, when requests are no longer sent
+constexpr Span kShutdownCheckInterval = 50ms;
+constexpr Span kCountsInterval = 5s;       // between log lines with forward counts
+constexpr Span kInboundIdleTimeout = 60s;  // connections from other sidecars, which close them first
 
 class SidecarProgram {
  public:
-  SidecarProgram(const Settings& settings, Sidecar::Built built, std::string settingsFile)
+  SidecarProgram(const Settings& settings, Sidecar::Config config, std::string settingsFile)
       : settings_(settings),
         settingsFile_(std::move(settingsFile)),
         signals_(loop_),
-        sidecar_(std::move(built)),
-        sessions_(loop_, {[this](const Address& at) { act(sidecar_.reached(loop_.now(), at)); },
+        sidecar_(std::move(config)),
+        controlSessions_(loop_,
+                         {[this](const Address& at) { execute(sidecar_.sessionOpened(loop_.now(), at)); },
                           [this](const Address& at, const nlohmann::json& message) {
-                            act(sidecar_.heard(loop_.now(), at, message));
+                            execute(sidecar_.handleMessage(loop_.now(), at, message));
                           },
-                          [this](const Address& at) { sidecar_.alive(loop_.now(), at); },
-                          [this](const Address& at) { act(sidecar_.ended(loop_.now(), at)); }}),
-        forwardClient_(loop_, {kDialForward, kIdleForward, kUnread, kMostAnswer, kMostIdle}),
-        servers_(loop_, {kDialServer, kIdleServer, Span{0}, kMostAnswer, kMostIdle}),
+                          [this](const Address& at) { sidecar_.markAlive(loop_.now(), at); },
+                          [this](const Address& at) { execute(sidecar_.sessionClosed(loop_.now(), at)); }}),
+        forwardClient_(loop_, {kForwardDialTimeout, kForwardIdleTimeout, kUserTimeout, kMaxBody, kMaxIdle}),
+        serverClient_(loop_, {kServerDialTimeout, kServerIdleTimeout, Span{0}, kMaxBody, kMaxIdle}),
         deadline_(settings.grace) {}
 
   int run() {
-    listen(settings_.outbound, clients_, HttpServerConnection::Shared{},
-           [this](const auto& connection, auto request) { asked(connection, std::move(request)); });
+    listen(settings_.outbound, clientListener_, HttpServerConnection::Shared{},
+           [this](const auto& connection, auto request) { requestReceived(connection, std::move(request)); });
     HttpServerConnection::Shared forwards;
-    forwards.idle = kForwardIdle;
-    forwards.mostBody = kMostAnswer;
-    listen(
-        settings_.inboundBind, forwardListener_, std::move(forwards),
-        [this](const auto& connection, auto request) { forwardRequested(connection, std::move(request)); });
-    listen(settings_.ready, looks_, HttpServerConnection::Shared{},
-           [this](const auto& connection, auto request) { called(CallSocket::ready, connection, *request); });
-    listen(
-        settings_.control, beats_, HttpServerConnection::Shared{},
-        [this](const auto& connection, auto request) { called(CallSocket::control, connection, *request); });
-    clients_->mostBody = kMostAnswer;
-    clients_->left = [this](HttpServerConnection& connection) { clientLeft(connection); };
-    forwardListener_->left = [this](HttpServerConnection& connection) { forwarderLeft(connection); };
+    forwards.idleTimeout = kInboundIdleTimeout;
+    forwards.maxBodyBytes = kMaxBody;
+    listen(settings_.inboundBind, forwardListener_, std::move(forwards),
+           [this](const auto& connection, auto request) { forwardReceived(connection, std::move(request)); });
+    listen(settings_.ready, readinessListener_, HttpServerConnection::Shared{},
+           [this](const auto& connection, auto request) {
+             apiCalled(ApiListener::ready, connection, *request);
+           });
+    listen(settings_.control, serverListener_, HttpServerConnection::Shared{},
+           [this](const auto& connection, auto request) {
+             apiCalled(ApiListener::control, connection, *request);
+           });
+    clientListener_->maxBodyBytes = kMaxBody;
+    clientListener_->onAbandoned = [this](HttpServerConnection& connection) {
+      clientDisconnected(connection);
+    };
+    forwardListener_->onAbandoned = [this](HttpServerConnection& connection) {
+      forwardDisconnected(connection);
+    };
     signals_.on(SIGTERM, [this] { stop(); });
     signals_.on(SIGINT, [this] { stop(); });
-    signals_.on(SIGHUP, [this] { tellAnew(); });
-    tellAnew();  // what changed before the handler was there
+    signals_.on(SIGHUP, [this] { reloadSettings(); });
+    reloadSettings();  // picks up changes made before the handler was installed
     loop_.guarded([this] { tick(); });
     log(LogLevel::info, "start", "", "listening", {{"life", sidecar_.admission().life().value}});
-    logCounts();
+    logForwardCounts();
     loop_.run();
     return 0;
   }
 
  private:
   using Shared = std::shared_ptr<HttpServerConnection::Shared>;
-  struct Inside {  // a client's request
+  struct OpenRequest {
     std::shared_ptr<HttpServerConnection> connection;
     std::shared_ptr<const http::Message> request;
   };
 
-  template <class Asked>
-  void listen(const Address& at, Shared& shared, HttpServerConnection::Shared made, Asked asked) {
-    shared = std::make_shared<HttpServerConnection::Shared>(std::move(made));
-    shared->asked = std::move(asked);
-    shared->left = [](HttpServerConnection&) {};
+  template <class OnRequest>
+  void listen(const Address& at, Shared& shared, HttpServerConnection::Shared settings, OnRequest onRequest) {
+    shared = std::make_shared<HttpServerConnection::Shared>(std::move(settings));
+    shared->onRequest = std::move(onRequest);
+    shared->onAbandoned = [](HttpServerConnection&) {};
     if (at.value.empty()) return;
     listeners_.push_back(std::make_unique<Listener>(
         loop_, at, [this, shared](Poco::Net::StreamSocket socket, std::string peer) {
@@ -113,113 +118,115 @@
         }));
   }
 
-  // Guards against a request that this process can't see to its end before it is killed. Its client is told
-  // when the next life takes requests, not to use up its tries on this one.
-  bool seesToEnd(const http::Message& request) {
+  // Whether a request can be completed before this process is killed. If not, the client is told when the
+  // restarted process will accept requests, so that it does not waste retries on this one.
+  bool canComplete(const http::Message& request) {
     const Span now = loop_.now();
-    if (now >= deadline_.endAt()) end();
+    if (now >= deadline_.exitAt()) exit();
     const auto route = sidecar_.router().routes().find(request.field("Host").value_or(""), request.word(1));
     if (!route) return true;
-    const Span longest = std::min(patienceOf(request).value_or(route->timeout), route->timeout);
-    return deadline_.takes(now, route->aim, longest);
+    const Span maximum = std::min(clientTimeout(request).value_or(route->timeout), route->timeout);
+    return deadline_.accepts(now, route->aim, maximum);
   }
 
-  // A request of a client here.
-  void asked(const std::shared_ptr<HttpServerConnection>& connection,
-             std::shared_ptr<const http::Message> request) {
-    lastAsked_ = loop_.now();
-    if (!sidecar_.serving(loop_.now())) return connection->answer(503, "Retry-After: 0.3\r\n", "");
-    if (deadline_.stopping() && !seesToEnd(*request)) {
-      const Span back = std::max(Span{0}, deadline_.endAt() - loop_.now()) + kNextLife;
-      return connection->answer(503, "Retry-After: " + writeSeconds(back) + "\r\n", "");
+  // A request of a local client.
+  void requestReceived(const std::shared_ptr<HttpServerConnection>& connection,
+                       std::shared_ptr<const http::Message> request) {
+    lastRequestAt_ = loop_.now();
+    if (!sidecar_.serving(loop_.now())) return connection->respond(503, "Retry-After: 0.3\r\n", "");
+    if (deadline_.stopping() && !canComplete(*request)) {
+      const Span retryAfter = std::max(Span{0}, deadline_.exitAt() - loop_.now()) + kRestartTime;
+      return connection->respond(503, "Retry-After: " + writeSeconds(retryAfter) + "\r\n", "");
     }
     const CallNo no{++lastCall_};
-    Asked asked;
-    asked.host = request->field("Host").value_or("");
-    asked.path = request->word(1);
-    asked.patience = patienceOf(*request);
+    Asked summary;
+    summary.host = request->field("Host").value_or("");
+    summary.path = request->word(1);
+    summary.patience = clientTimeout(*request);
     calls_[no] = {connection, request};
-    act(sidecar_.asked(loop_.now(), no, asked));
+    execute(sidecar_.requestReceived(loop_.now(), no, summary));
   }
 
-  void clientLeft(const HttpServerConnection& connection) {
-    for (auto& [no, inside] : calls_) {
-      if (inside.connection.get() != &connection) continue;
-      inside.connection.reset();  // what goes on has nowhere to send its answer
-      loop_.soon([this, call = no] { abandon(call); });
+  void clientDisconnected(const HttpServerConnection& connection) {
+    for (auto& [no, open] : calls_) {
+      if (open.connection.get() != &connection) continue;
+      open.connection.reset();  // a request that continues has no receiver for its response
+      loop_.soon([this, call = no] { abandonRequest(call); });
     }
   }
 
-  void abandon(CallNo call) {
-    SidecarActions acts = sidecar_.abandoned(loop_.now(), call);
-    const bool over = !acts.routing.empty();
-    act(std::move(acts));
-    if (over) calls_.erase(call);
+  void abandonRequest(CallNo call) {
+    SidecarActions actions = sidecar_.requestAbandoned(loop_.now(), call);
+    const bool removed = !actions.routing.empty();
+    execute(std::move(actions));
+    if (removed) calls_.erase(call);
   }
 
-  void forwarderLeft(const HttpServerConnection& connection) {
-    for (const auto& [no, inside] : asks_) {
-      if (inside.connection.get() != &connection) continue;
-      loop_.soon([this, ask = no] { act(sidecar_.forwardAbandoned(loop_.now(), ask)); });
+  void forwardDisconnected(const HttpServerConnection& connection) {
+    for (const auto& [no, open] : inbound_) {
+      if (open.connection.get() != &connection) continue;
+      loop_.soon([this, id = no] { execute(sidecar_.forwardAbandoned(loop_.now(), id)); });
     }
   }
 
-  // A request of another process for the server here.
-  void forwardRequested(const std::shared_ptr<HttpServerConnection>& connection,
-                        std::shared_ptr<const http::Message> request) {
+  // A forward from another sidecar to the local server.
+  void forwardReceived(const std::shared_ptr<HttpServerConnection>& connection,
+                       std::shared_ptr<const http::Message> request) {
     const auto field = request->field(kForwardHeader);
-    const auto ask = field ? askFrom(*field) : std::nullopt;
-    if (!ask) return connection->answer(400, "", "");
-    const AskNo no{++lastAsk_};
-    asks_[no] = {connection, request};
+    const auto forward = field ? parseForwardRequest(*field) : std::nullopt;
+    if (!forward) return connection->respond(400, "", "");
+    const InboundRequestId no{++lastInbound_};
+    inbound_[no] = {connection, request};
     std::optional<std::string> key;
-    if (ask->kind == RouteKind::keyed) {
-      if (const auto given = request->field(kOperation)) key = std::string(*given);
+    if (forward->kind == RouteKind::keyed) {
+      if (const auto value = request->field(kOperationKeyHeader)) key = std::string(*value);
     }
-    act(sidecar_.forwardRequested(loop_.now(), no, *ask, key));
+    execute(sidecar_.forwardReceived(loop_.now(), no, *forward, key));
   }
 
-  void called(CallSocket socket, const std::shared_ptr<HttpServerConnection>& connection,
-              const http::Message& request) {
+  void apiCalled(ApiListener socket, const std::shared_ptr<HttpServerConnection>& connection,
+                 const http::Message& request) {
     bool known = false;
-    const auto call = findCall(socket, CallBy::auxiliary, request.word(0), request.word(1), known);
-    if (!call) return connection->answer(known ? 405 : 404, "", "");
-    if (call->row->kind == CallKind::readiness)
-      return connection->answer(sidecar_.ready(loop_.now()) ? 200 : 503, "", "");
+    const auto call =
+        findApiEndpoint(socket, MachineRole::auxiliary, request.word(0), request.word(1), known);
+    if (!call) return connection->respond(known ? 405 : 404, "", "");
+    if (call->endpoint->kind == ApiCall::readiness)
+      return connection->respond(sidecar_.ready(loop_.now()) ? 200 : 503, "", "");
     Beat beat;
-    if (call->row->kind == CallKind::signOff) {
+    if (call->endpoint->kind == ApiCall::serverDeregistration) {
       beat.id = {std::string(call->name)};
       beat.gone = true;
     } else {
-      Result<Beat> read = readBeat(call->name, request.body());
+      Result<Beat> read = parseServerHeartbeat(call->name, request.body());
       if (!read) {
         log(LogLevel::warning, read.error().step, read.error().peer, read.error().what);
-        return connection->answer(400, "", "");
+        return connection->respond(400, "", "");
       }
       beat = std::move(read).value();
     }
     const ServerCallNo no{++lastServerCall_};
     serverCalls_[no] = connection;
-    act(sidecar_.beat(loop_.now(), no, beat));
+    execute(sidecar_.serverCalled(loop_.now(), no, beat));
   }
 
-  void answer(const ServerCallAnswer& answer) {
+  void respond(const ServerCallAnswer& answer) {
     const auto found = serverCalls_.find(answer.call);
     if (found == serverCalls_.end()) return;
     const auto connection = std::move(found->second);
     serverCalls_.erase(found);
-    if (answer.acknowledged) return connection->answer(200, "Content-Type: application/json\r\n", "{}");
-    log(LogLevel::warning, "server", "", "its leaving is on no disk yet: it is to call again");
-    connection->answer(503, "Retry-After: 0.2\r\n", "");
+    if (answer.acknowledged) return connection->respond(200, "Content-Type: application/json\r\n", "{}");
+    log(LogLevel::warning, "server", "",
+        "departure not persisted by the control plane yet; the server must retry");
+    connection->respond(503, "Retry-After: 0.2\r\n", "");
   }
 
-  void act(SidecarActions acts) {
-    for (RoutingAction& act : acts.routing) this->act(act);
-    for (AdmissionAction& act : acts.admission) this->act(act);
-    for (const ControlClientAction& action : acts.control) sessions_.act(action);
-    for (const ServerCallAnswer& each : acts.answers) answer(each);
-    for (const Served& server : acts.told) logServer(server);
-    wakeInTime();
+  void execute(SidecarActions actions) {
+    for (RoutingAction& action : actions.routing) this->execute(action);
+    for (AdmissionAction& action : actions.admission) this->execute(action);
+    for (const ControlClientAction& action : actions.control) controlSessions_.execute(action);
+    for (const ServerCallAnswer& answer : actions.answers) respond(answer);
+    for (const Served& server : actions.serverChanges) logServer(server);
+    scheduleTick();
   }
 
   static void logServer(const Served& server) {
@@ -228,153 +235,154 @@
         {{"life", server.life.value}, {"seq", server.seq}, {"process_leaves", server.leaving}});
   }
 
-  void logCounts() {
-    const nlohmann::json received = received_.take();
-    const nlohmann::json sent = sent_.take();
+  void logForwardCounts() {
+    const nlohmann::json received = receivedCounts_.take();
+    const nlohmann::json sent = sentCounts_.take();
     if (!received.is_null() || !sent.is_null())
       log(LogLevel::info, "forwards", "", "counted", {{"received", received}, {"sent", sent}});
-    loop_.in(kCountsEvery, [this] { logCounts(); });
+    loop_.in(kCountsInterval, [this] { logForwardCounts(); });
   }
 
-  void act(RoutingAction& act) {
-    const auto found = calls_.find(act.call);
+  void execute(RoutingAction& action) {
+    const auto found = calls_.find(action.call);
     if (found == calls_.end()) return;
-    if (act.kind == RoutingAction::Kind::send) return forward(found->second, act);
-    if (act.kind == RoutingAction::Kind::cancel) return cancelForward(act);
-    const Inside inside = std::move(found->second);
+    if (action.kind == RoutingAction::Kind::send) return forward(found->second, action);
+    if (action.kind == RoutingAction::Kind::cancel) return cancelForward(action);
+    const OpenRequest open = std::move(found->second);
     calls_.erase(found);
-    if (!inside.connection) return;
-    if (act.kind == RoutingAction::Kind::pass) {
-      inside.connection->pass(std::static_pointer_cast<const http::Message>(act.bytes), "");
+    if (!open.connection) return;
+    if (action.kind == RoutingAction::Kind::pass) {
+      open.connection->relay(std::static_pointer_cast<const http::Message>(action.bytes), "");
     } else {
       std::string fields;
-      if (act.comeBack > Span{0}) fields = "Retry-After: " + writeSeconds(act.comeBack) + "\r\n";
-      inside.connection->answer(act.status, fields, "");
+      if (action.comeBack > Span{0}) fields = "Retry-After: " + writeSeconds(action.comeBack) + "\r\n";
+      open.connection->respond(action.status, fields, "");
     }
   }
 
-  void cancelForward(const RoutingAction& act) {
-    const auto forward = forwards_.find(act.sent);
+  void cancelForward(const RoutingAction& action) {
+    const auto forward = forwards_.find(action.sent);
     if (forward == forwards_.end()) return;
     forward->second.cancel();
     forwards_.erase(forward);
   }
 
-  void forward(const Inside& inside, const RoutingAction& act) {
+  void forward(const OpenRequest& open, const RoutingAction& action) {
     const Span now = loop_.now();
-    forwards_[act.sent] = forwardClient_.send(
-        act.at, forwardMessage(inside.request, act.ask), {}, inside.request->word(0) == "HEAD",
-        now + act.ask.left + kSpare + kForwardSpare,
-        [this, call = act.call, sent = act.sent](RequestOutcome how, RequestRef answer) {
-          forwarded(call, sent, how, std::move(answer));
+    forwards_[action.sent] = forwardClient_.send(
+        action.at, forwardMessage(open.request, action.ask), {}, open.request->word(0) == "HEAD",
+        now + action.ask.left + kServerMargin + kForwardMargin,
+        [this, call = action.call, sent = action.sent](RequestOutcome outcome, RequestRef response) {
+          forwardCompleted(call, sent, outcome, std::move(response));
         },
-        now + act.ask.left - kUnsent);
+        now + action.ask.left - kSendMargin);
   }
 
-  void forwarded(CallNo call, TryNo sent, RequestOutcome how, RequestRef answer) {
+  void forwardCompleted(CallNo call, TryNo sent, RequestOutcome outcome, RequestRef response) {
     forwards_.erase(sent);
-    const ForwardEnd end = forwardEnd(how, answer.get());
-    sent_.count(end.told.verdict);
-    act(sidecar_.forwarded(loop_.now(), call, sent, end.result, end.told, end.status, std::move(answer)));
+    const ForwardEnd end = forwardEnd(outcome, response.get());
+    sentCounts_.count(end.reply.verdict);
+    execute(sidecar_.forwardCompleted(loop_.now(), call, sent, end.result, end.reply, end.status,
+                                      std::move(response)));
   }
 
-  void act(AdmissionAction& act) {
-    const auto found = asks_.find(act.ask);
-    if (found == asks_.end()) return;
-    if (act.kind == AdmissionAction::Kind::run) return serve(found->second, act);
-    if (act.kind == AdmissionAction::Kind::cancel) return cancelRun(act.ask);
-    const Inside inside = std::move(found->second);
-    asks_.erase(found);
-    const std::string told = replyFields(act.told);
-    received_.count(act.told.verdict);
-    if (!act.bytes) return inside.connection->answer(503, told, "");
+  void execute(AdmissionAction& action) {
+    const auto found = inbound_.find(action.ask);
+    if (found == inbound_.end()) return;
+    if (action.kind == AdmissionAction::Kind::run) return runOnServer(found->second, action);
+    if (action.kind == AdmissionAction::Kind::cancel) return cancelExecution(action.ask);
+    const OpenRequest open = std::move(found->second);
+    inbound_.erase(found);
+    const std::string reply = replyFields(action.told);
+    receivedCounts_.count(action.told.verdict);
+    if (!action.bytes) return open.connection->respond(503, reply, "");
     std::string fields;
-    if (const auto attempt = inside.request->field(kAttempt))
+    if (const auto attempt = open.request->field(kAttemptIdHeader))
       fields = "Rackroute-Attempt-Id: " + std::string(*attempt) + "\r\n";
-    inside.connection->pass(std::static_pointer_cast<const http::Message>(act.bytes), fields + told,
-                            kAttempt);
+    open.connection->relay(std::static_pointer_cast<const http::Message>(action.bytes), fields + reply,
+                           kAttemptIdHeader);
   }
 
-  void cancelRun(AskNo ask) {
-    const auto run = runs_.find(ask);
-    if (run == runs_.end()) return;
+  void cancelExecution(InboundRequestId id) {
+    const auto run = executions_.find(id);
+    if (run == executions_.end()) return;
     run->second.cancel();
-    runs_.erase(run);
+    executions_.erase(run);
   }
 
-  void serve(const Inside& inside, const AdmissionAction& act) {
-    const std::string attempt(inside.request->field(kAttempt).value_or(""));
+  void runOnServer(const OpenRequest& open, const AdmissionAction& action) {
+    const std::string attempt(open.request->field(kAttemptIdHeader).value_or(""));
     const Span now = loop_.now();
-    runs_[act.ask] = servers_.send(
-        act.server, serverMessage(inside.request, act), attempt, inside.request->word(0) == "HEAD",
-        now + act.left + kSpare,
-        [this, ask = act.ask](RequestOutcome how, const RequestRef& answer) {
-          runs_.erase(ask);
-          const ServerEnd end = serverEnd(how, answer);
-          this->act(sidecar_.ran(loop_.now(), ask, end.how, end.answer));
+    executions_[action.ask] = serverClient_.send(
+        action.server, serverMessage(open.request, action), attempt, open.request->word(0) == "HEAD",
+        now + action.left + kServerMargin,
+        [this, id = action.ask](RequestOutcome outcome, const RequestRef& response) {
+          executions_.erase(id);
+          const ServerEnd end = serverEnd(outcome, response);
+          this->execute(sidecar_.executionEnded(loop_.now(), id, end.how, end.answer));
         },
-        now + act.left - kUnsent);
+        now + action.left - kSendMargin);
   }
 
-  void wakeInTime() {
+  void scheduleTick() {
     const Span next = sidecar_.nextTick(loop_.now());
-    if (wakes_ && next >= wakeAt_) return;
-    loop_.cancel(wake_);
-    wakes_ = true;
-    wakeAt_ = next;
-    wake_ = loop_.at(next, [this] {
-      wakes_ = false;
-      deadline_.ranLate(loop_.now(), loop_.now() - wakeAt_);
+    if (tickScheduled_ && next >= nextTickAt_) return;
+    loop_.cancel(tickTimer_);
+    tickScheduled_ = true;
+    nextTickAt_ = next;
+    tickTimer_ = loop_.at(next, [this] {
+      tickScheduled_ = false;
+      deadline_.recordLateness(loop_.now(), loop_.now() - nextTickAt_);
       tick();
     });
   }
 
   void tick() {
-    if (clients_) {
+    if (clientListener_) {
       const Limits& limits = sidecar_.router().routes().limits();
-      clients_->header = limits.header;
-      clients_->idle = limits.idle;
+      clientListener_->headerTimeout = limits.header;
+      clientListener_->idleTimeout = limits.idle;
     }
-    act(sidecar_.tick(loop_.now()));
-    if (const bool ready = sidecar_.ready(loop_.now()); ready != told_) {
-      told_ = ready;
-      log(LogLevel::info, "ready", "", ready ? "requests are taken" : "clients are to go elsewhere");
+    execute(sidecar_.tick(loop_.now()));
+    if (const bool ready = sidecar_.ready(loop_.now()); ready != loggedReady_) {
+      loggedReady_ = ready;
+      log(LogLevel::info, "ready", "", ready ? "accepting requests" : "not accepting requests");
     }
   }
 
-  void tellAnew() {
+  void reloadSettings() {
     auto settings = readSettingsFile(settingsFile_);
     if (!settings)
       return log(LogLevel::error, settings.error().step, settings.error().peer, settings.error().what);
     std::vector<Address> seeds;
     for (const Address& seed : settings.value().seeds)
       seeds.push_back(meshAddress(seed, settings_.firstPort));
-    act(sidecar_.seeds(loop_.now(), std::move(seeds)));
+    execute(sidecar_.setSeeds(loop_.now(), std::move(seeds)));
   }
 
   void stop() {
     if (deadline_.stopping()) return;
-    stoppedAt_ = loop_.now();
-    deadline_.stop(stoppedAt_);
+    stopStartedAt_ = loop_.now();
+    deadline_.start(stopStartedAt_);
     log(LogLevel::info, "stop", "", "leaving");
-    clients_->closing = forwardListener_->closing = true;
-    act(sidecar_.leave(loop_.now()));
-    look();
+    clientListener_->draining = forwardListener_->draining = true;
+    execute(sidecar_.startDrain(loop_.now()));
+    checkShutdown();
   }
 
-  void look() {
+  void checkShutdown() {
     const Span now = loop_.now();
-    const bool quiet = calls_.empty() && asks_.empty() && lastAsked_ + kQuiet <= now;
-    if ((quiet && stoppedAt_ + kStillComing <= now) || deadline_.endAt() <= now) end();
-    loop_.at(now + kLook, [this, due = now + kLook] {
-      deadline_.ranLate(loop_.now(), loop_.now() - due);
-      look();
+    const bool idle = calls_.empty() && inbound_.empty() && lastRequestAt_ + kIdleBeforeExit <= now;
+    if ((idle && stopStartedAt_ + kMinDrain <= now) || deadline_.exitAt() <= now) exit();
+    loop_.at(now + kShutdownCheckInterval, [this, due = now + kShutdownCheckInterval] {
+      deadline_.recordLateness(loop_.now(), loop_.now() - due);
+      checkShutdown();
     });
   }
 
-  // Guards against a slow machine that goes through all ready connections once more, or takes hundreds of
-  // them apart one by one, past the grace. All answers are written; the kernel sees them off.
-  [[noreturn]] static void end() {
+  // Exits without another pass over the connections and without destroying them, which can exceed the grace
+  // period on a slow machine. All responses have been written; the kernel delivers them.
+  [[noreturn]] static void exit() {
     log(LogLevel::info, "stop", "", "stopped");
     std::quick_exit(0);
   }
@@ -384,34 +392,34 @@
   std::string settingsFile_;
   sidecar::Signals signals_;
   Sidecar sidecar_;
-  ControlSessions sessions_;
+  ControlSessions controlSessions_;
   HttpClient forwardClient_;
-  HttpClient servers_;
-  Shared clients_, forwardListener_, looks_, beats_;
+  HttpClient serverClient_;
+  Shared clientListener_, forwardListener_, readinessListener_, serverListener_;
   std::vector<std::unique_ptr<Listener>> listeners_;
-  std::map<CallNo, Inside> calls_;
-  std::map<AskNo, Inside> asks_;
-  std::map<ServerCallNo, std::shared_ptr<HttpServerConnection>> serverCalls_;  // without an answer yet
-  std::map<TryNo, HttpClient::InFlight> forwards_;  // to other processes, without an answer yet
-  std::map<AskNo, HttpClient::InFlight> runs_;      // at the server here, without an answer yet
-  sidecar::Loop::TimerId wake_;
-  Span wakeAt_{};
-  bool wakes_ = false;
-  bool told_ = false;  // whether the log's last word is that it is ready
-  Span lastAsked_{};
+  std::map<CallNo, OpenRequest> calls_;
+  std::map<InboundRequestId, OpenRequest> inbound_;
+  std::map<ServerCallNo, std::shared_ptr<HttpServerConnection>> serverCalls_;  // not answered yet
+  std::map<TryNo, HttpClient::InFlight> forwards_;                             // to other sidecars
+  std::map<InboundRequestId, HttpClient::InFlight> executions_;                // at the local server
+  sidecar::Loop::TimerId tickTimer_;
+  Span nextTickAt_{};
+  bool tickScheduled_ = false;
+  bool loggedReady_ = false;  // the readiness that was last logged
+  Span lastRequestAt_{};
   ShutdownDeadline deadline_;
-  Span stoppedAt_{};
-  ForwardCounts received_;  // from other processes
-  ForwardCounts sent_;      // to them
+  Span stopStartedAt_{};
+  ForwardCounts receivedCounts_;  // from other sidecars
+  ForwardCounts sentCounts_;      // to other sidecars
   std::uint64_t lastCall_ = 0;
-  std::uint64_t lastAsk_ = 0;
+  std::uint64_t lastInbound_ = 0;
   std::uint64_t lastServerCall_ = 0;
 };
 
 }  // namespace
 
-int runSidecar(const Settings& settings, Sidecar::Built built, const std::string& settingsFile) {
-  return SidecarProgram(settings, std::move(built), settingsFile).run();
+int runSidecar(const Settings& settings, Sidecar::Config config, const std::string& settingsFile) {
+  return SidecarProgram(settings, std::move(config), settingsFile).run();
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/sidecar_program.hpp
+++ b/src/mesh/sidecar/sidecar_program.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The data plane's program: one thread that carries requests between clients, other processes and the server
-// here, as the Sidecar says. It owns the bytes and decides nothing; it must never block but in the poll.
+// The data-plane program: a single thread that moves requests between local clients, other sidecars and the
+// local server as directed by Sidecar. It must not block anywhere but in the poll.
 
 #include <string>
 
@@ -10,7 +10,7 @@
 
 namespace rackroute::mesh {
 
-/// Runs until the process is told to stop, and ends it. settingsFile: read anew at SIGHUP.
-int runSidecar(const Settings& settings, Sidecar::Built built, const std::string& settingsFile);
+/// Runs until a stop signal and exits the process. settingsFile: reloaded on SIGHUP.
+int runSidecar(const Settings& settings, Sidecar::Config config, const std::string& settingsFile);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/compression.cpp
+++ b/src/mesh/transport/compression.cpp
@@ -7,38 +7,38 @@
 namespace rackroute::mesh {
 namespace {
 
-constexpr std::size_t kWorth = 4096;  // bytes; shorter words fit a few packets as they are
-constexpr int kEffort = 3;            // of 9; the next steps cost twice the time for a tenth of the bytes
+constexpr std::size_t kMinSize = 4096;  // bytes
+constexpr int kLevel = 3;               // zlib compression level
 
 }  // namespace
 
-bool worthPacking(const std::string& word) { return word.size() >= kWorth; }
+bool shouldCompress(const std::string& message) { return message.size() >= kMinSize; }
 
-std::shared_ptr<const std::string> Compressor::packed(const std::shared_ptr<const std::string>& word) {
-  const auto found = kept_.find(word.get());
-  if (found != kept_.end() && found->second.word.lock() == word) {
-    if (auto made = found->second.packed.lock()) return made;
+std::shared_ptr<const std::string> Compressor::compress(const std::shared_ptr<const std::string>& message) {
+  const auto found = cache_.find(message.get());
+  if (found != cache_.end() && found->second.message.lock() == message) {
+    if (auto result = found->second.compressed.lock()) return result;
   }
-  for (auto at = kept_.begin(); at != kept_.end();)
-    at = at->second.word.expired() ? kept_.erase(at) : std::next(at);
-  uLongf size = ::compressBound(word->size());
-  auto made = std::make_shared<std::string>(size, '\0');
-  if (::compress2(reinterpret_cast<Bytef*>(made->data()), &size, reinterpret_cast<const Bytef*>(word->data()),
-                  word->size(), kEffort) != Z_OK)
+  for (auto at = cache_.begin(); at != cache_.end();)
+    at = at->second.message.expired() ? cache_.erase(at) : std::next(at);
+  uLongf size = ::compressBound(message->size());
+  auto result = std::make_shared<std::string>(size, '\0');
+  if (::compress2(reinterpret_cast<Bytef*>(result->data()), &size,
+                  reinterpret_cast<const Bytef*>(message->data()), message->size(), kLevel) != Z_OK)
     return nullptr;
-  made->resize(size);
-  made->shrink_to_fit();
-  kept_[word.get()] = {word, made};
-  return made;
+  result->resize(size);
+  result->shrink_to_fit();
+  cache_[message.get()] = {message, result};
+  return result;
 }
 
-std::optional<std::string> unpacked(std::string_view packed, std::size_t bytes) {
-  std::string word(bytes, '\0');
-  uLongf size = bytes;
-  const int end = ::uncompress(reinterpret_cast<Bytef*>(word.data()), &size,
-                               reinterpret_cast<const Bytef*>(packed.data()), packed.size());
-  if (end != Z_OK || size != bytes) return std::nullopt;
-  return word;
+std::optional<std::string> decompress(std::string_view compressed, std::size_t size) {
+  std::string message(size, '\0');
+  uLongf actual = size;
+  const int end = ::uncompress(reinterpret_cast<Bytef*>(message.data()), &actual,
+                               reinterpret_cast<const Bytef*>(compressed.data()), compressed.size());
+  if (end != Z_OK || actual != size) return std::nullopt;
+  return message;
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/compression.hpp
+++ b/src/mesh/transport/compression.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// Long words of the mesh's own session, made short for thin links: a configuration of a thousand routes is
-// half a megabyte that repeats itself. It owns what it packed last, as the same word goes to many; it must
-// never take more bytes out of a packed word than that word said beforehand.
+// Compresses large messages of mesh sessions, such as configurations with many routes. Caches the compressed
+// form while a message is sent to several peers. Decompression never produces more bytes than announced.
 
 #include <cstddef>
 #include <map>
@@ -13,23 +12,23 @@
 
 namespace rackroute::mesh {
 
-/// Whether a word is worth packing at all.
-[[nodiscard]] bool worthPacking(const std::string& word);
+/// Whether a message is large enough to be compressed.
+[[nodiscard]] bool shouldCompress(const std::string& message);
 
 class Compressor {
  public:
-  /// The packed form, made once for all to whom the same word is said; shared, so that none copies it.
-  std::shared_ptr<const std::string> packed(const std::shared_ptr<const std::string>& word);
+  /// Returns the compressed message, shared by all recipients of the same message; nullptr on failure.
+  std::shared_ptr<const std::string> compress(const std::shared_ptr<const std::string>& message);
 
  private:
-  struct Kept {
-    std::weak_ptr<const std::string> word;  // gone: nobody can ask for it any more
-    std::weak_ptr<const std::string> packed;
+  struct Entry {
+    std::weak_ptr<const std::string> message;  // expired: the entry is no longer needed
+    std::weak_ptr<const std::string> compressed;
   };
-  std::map<const std::string*, Kept> kept_;
+  std::map<const std::string*, Entry> cache_;
 };
 
-/// Throws std::bad_alloc only; nothing where it does not come out as exactly so many bytes.
-std::optional<std::string> unpacked(std::string_view packed, std::size_t bytes);
+/// Returns nullopt unless the result has exactly `size` bytes. Throws only std::bad_alloc.
+std::optional<std::string> decompress(std::string_view compressed, std::size_t size);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/event_loop.hpp
+++ b/src/mesh/transport/event_loop.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// The shared loop with one thing more: work that another thread hands to it. It owns what was handed over and
-// not yet run.
+// An event loop that also runs tasks posted by other threads.
 
 #include <mutex>
 #include <utility>
@@ -13,7 +12,7 @@
 
 class EventLoop : public sidecar::Loop {
  public:
-  /// From any thread; the task runs in a turn of the loop.
+  /// Runs the task in the event loop. May be called from any thread.
   void post(Task task) {
     {
       const std::lock_guard guard(mutex_);
--- a/src/mesh/transport/http_client.cpp
+++ b/src/mesh/transport/http_client.cpp
@@ -18,12 +18,12 @@
 using http::Progress;
 using sidecar::Reason;
 
-constexpr Span kKeepAliveMargin = 700ms;  // before the end that a peer announced; its clock and a trip
-constexpr int kProbeAfter = 1;            // seconds of silence before the kernel asks whether a peer lives
+constexpr Span kKeepAliveMargin = 700ms;  // before the idle timeout that a peer announced
+constexpr int kKeepAliveSeconds = 1;      // idle time before, and interval between, TCP keepalive probes
 
-/// The seconds of Keep-Alive: timeout=N, or of a bare number.
-std::optional<Span> promisedIdle(const http::Message& answer) {
-  const auto field = answer.field("Keep-Alive");
+/// The timeout of a Keep-Alive header, either timeout=N or a bare number of seconds.
+std::optional<Span> announcedIdleTimeout(const http::Message& response) {
+  const auto field = response.field("Keep-Alive");
   if (!field) return std::nullopt;
   std::string_view text = *field;
   if (const std::size_t at = text.find("timeout="); at != text.npos) text.remove_prefix(at + 8);
@@ -44,29 +44,29 @@
 
   void connect(Span sendBy) {
     sendBy_ = sendBy;
-    timer_ = loop_.at(std::min(loop_.now() + httpClient_.terms_.dial, sendBy), [this] {
+    timer_ = loop_.at(std::min(loop_.now() + httpClient_.options_.dialTimeout, sendBy), [this] {
       timer_ = {};
       end(Reason::dialTimeout);
     });
     dial(Poco::Net::SocketAddress(to_.value));
   }
-  void request(std::uint64_t number, http::Gather pieces, std::string attempt, bool headOnly, Span until,
-               Done done) {
+  void request(std::uint64_t number, http::Gather pieces, std::string attempt, bool isHead, Span deadline,
+               Callback done) {
     number_ = number;
     attempt_ = std::move(attempt);
-    headOnly_ = headOnly;
+    isHead_ = isHead;
     done_ = std::move(done);
-    until_ = until;
-    skipped_ = false;
-    keeps_ = true;
+    deadline_ = deadline;
+    skippedResponse_ = false;
+    reusable_ = true;
     writtenBefore_ = bytesWritten();
-    reader_ = http::Reader(http::Reader::Kind::answer, httpClient_.terms_.mostAnswer);
+    reader_ = http::Reader(http::Reader::Kind::answer, httpClient_.options_.maxBodyBytes);
     head_.reset();
-    held_.clear();
+    bodyBytes_.clear();
     send(std::move(pieces));
-    if (!dialing() && !ended()) watch();
+    if (!dialing() && !ended()) startDeadlineTimer();
   }
-  void keep(Span idle) {
+  void startIdle(Span idle) {
     loop_.cancel(timer_);
     timer_ = loop_.in(idle, [this] {
       timer_ = {};
@@ -83,126 +83,130 @@
 
  protected:
   void opened() override {
-    // Guards against a request that is sent after its sender has given it up, when this turn comes late.
+    // If this turn is late, the request must not be sent after `sendBy`.
     if (loop_.now() >= sendBy_) return end(Reason::dialTimeout);
-    up_ = true;
+    connected_ = true;
     loop_.cancel(timer_);
-    if (httpClient_.terms_.unread > Span{0}) {
-      const int milliseconds = static_cast<int>(httpClient_.terms_.unread / 1ms);
+    if (httpClient_.options_.userTimeout > Span{0}) {
+      const int milliseconds = static_cast<int>(httpClient_.options_.userTimeout / 1ms);
       const int one = 1;
-      const int seconds = kProbeAfter;
+      const int seconds = kKeepAliveSeconds;
       ::setsockopt(descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof(milliseconds));
       ::setsockopt(descriptor(), SOL_SOCKET, SO_KEEPALIVE, &one, sizeof(one));
       ::setsockopt(descriptor(), IPPROTO_TCP, TCP_KEEPIDLE, &seconds, sizeof(seconds));
       ::setsockopt(descriptor(), IPPROTO_TCP, TCP_KEEPINTVL, &seconds, sizeof(seconds));
     }
-    if (done_) watch();
+    if (done_) startDeadlineTimer();
   }
   void received() override {
-    if (!done_) return end(Reason::unreadAnswer);  // bytes that nobody asked for
+    if (!done_) return end(Reason::unreadAnswer);  // no request is pending
     for (;;) {
-      const Progress progress = readAnswer();
+      const Progress progress = readResponse();
       if (progress == Progress::more) return;
-      if (progress != Progress::done) return spoil();
-      auto answer = takeAnswer();
-      // Guards against an answer to an earlier request that comes in this one's place.
-      if (!names(*answer)) {
-        skipped_ = true;
-        if (!answer->keepsOpen()) return spoil();
+      if (progress != Progress::done) return failMalformed();
+      auto response = takeResponse();
+      // Skips late responses to earlier requests.
+      if (!matchesAttempt(*response)) {
+        skippedResponse_ = true;
+        if (!response->keepsOpen()) return failMalformed();
         continue;
       }
       ++messages_;
-      // Guards against a server that answered before it had the whole body, and reads on later: what is sent
-      // next would come in the place of the rest.
-      keeps_ = answer->keepsOpen() && in_.empty() && !skipped_ && allWritten();
-      idle_ = httpClient_.terms_.idle;
-      if (const auto promised = promisedIdle(*answer)) idle_ = std::min(idle_, *promised - kKeepAliveMargin);
-      if (idle_ <= Span{0}) keeps_ = false;
+      // Not reusable if the server responded before it received the whole request: it would take the next
+      // request for the rest of this one.
+      reusable_ = response->keepsOpen() && in_.empty() && !skippedResponse_ && allWritten();
+      idle_ = httpClient_.options_.idleTimeout;
+      if (const auto announced = announcedIdleTimeout(*response))
+        idle_ = std::min(idle_, *announced - kKeepAliveMargin);
+      if (idle_ <= Span{0}) reusable_ = false;
       loop_.cancel(timer_);
-      tell(RequestOutcome::answered, std::move(answer));
-      if (keeps_) return httpClient_.release(std::static_pointer_cast<ClientConnection>(shared_from_this()));
+      complete(RequestOutcome::completed, std::move(response));
+      if (reusable_)
+        return httpClient_.release(std::static_pointer_cast<ClientConnection>(shared_from_this()));
       return end(Reason::closeAsked);
     }
   }
   void gone(Reason reason) override {
     loop_.cancel(timer_);
-    // Without a length, the peer's orderly end is the answer's; a reset is not.
-    const bool whole = reason == Reason::peerClosed && head_ && body_.untilClose();
-    if (done_ && whole && names(*head_)) tell(RequestOutcome::answered, takeAnswer());
-    if (done_) tell(outcome(reason), nullptr);
-    httpClient_.forget(this);
+    // A response without a length ends when the peer closes the connection, but not with a reset.
+    const bool untilClose = reason == Reason::peerClosed && head_ && body_.untilClose();
+    if (done_ && untilClose && matchesAttempt(*head_)) complete(RequestOutcome::completed, takeResponse());
+    if (done_) complete(outcome(reason), nullptr);
+    httpClient_.remove(this);
   }
 
  private:
-  /// The head of the answer proper, then its body; done: takeAnswer() has both.
-  Progress readAnswer() {
+  /// Reads the final response's head, then its body. done: the response can be taken by takeResponse().
+  Progress readResponse() {
     while (!head_) {
       const Progress progress = reader_.readHead(in_);
       if (progress != Progress::done) return progress;
       auto head = std::make_shared<http::Message>(reader_.takeHead(in_));
-      if (head->status() < 200) continue;  // word that an answer will come
-      if (!headOnly_ && hidesItsEnd(*head)) return Progress::malformed;
-      body_ = headOnly_ ? http::Body()
-                        : http::Body(*head, http::Reader::Kind::answer, httpClient_.terms_.mostAnswer);
+      if (head->status() < 200) continue;  // interim response
+      if (!isHead_ && lacksLength(*head)) return Progress::malformed;
+      body_ = isHead_ ? http::Body()
+                      : http::Body(*head, http::Reader::Kind::answer, httpClient_.options_.maxBodyBytes);
       head_ = std::move(head);
     }
-    return body_.read(in_, held_);
+    return body_.read(in_, bodyBytes_);
   }
-  std::shared_ptr<const http::Message> takeAnswer() {
-    const auto answer = std::exchange(head_, nullptr);
-    if (!headOnly_) answer->giveBody(std::exchange(held_, {}));
-    return answer;
+  std::shared_ptr<const http::Message> takeResponse() {
+    const auto response = std::exchange(head_, nullptr);
+    if (!isHead_) response->giveBody(std::exchange(bodyBytes_, {}));
+    return response;
   }
-  /// A success without a length, other than a 200: http::Body reads only that one until the connection ends.
-  static bool hidesItsEnd(const http::Message& head) {
+  /// A success response without a length, other than 200: http::Body reads only 200 until the connection
+  /// closes.
+  static bool lacksLength(const http::Message& head) {
     const bool success = head.status() > 200 && head.status() < 300 && head.status() != 204;
     return success && !head.length() && !head.chunked();
   }
-  [[nodiscard]] bool names(const http::Message& answer) const {
-    return attempt_.empty() || answer.field(kAttempt) == std::string_view(attempt_);
+  [[nodiscard]] bool matchesAttempt(const http::Message& response) const {
+    return attempt_.empty() || response.field(kAttemptIdHeader) == std::string_view(attempt_);
   }
-  void spoil() {
+  void failMalformed() {
     why_ = "answer";
-    spoilt_ = true;
+    malformed_ = true;
     end(Reason::badMessage);
   }
   [[nodiscard]] RequestOutcome outcome(Reason reason) const {
-    if (spoilt_) return RequestOutcome::spoilt;
-    if (!up_ || bytesWritten() == writtenBefore_) return RequestOutcome::notSent;
-    if (!allWritten()) return RequestOutcome::notWhole;
-    return reason == Reason::executionTimeout ? RequestOutcome::silent : RequestOutcome::broken;
+    if (malformed_) return RequestOutcome::malformedResponse;
+    if (!connected_ || bytesWritten() == writtenBefore_) return RequestOutcome::notSent;
+    if (!allWritten()) return RequestOutcome::partiallySent;
+    return reason == Reason::executionTimeout ? RequestOutcome::timedOut : RequestOutcome::connectionLost;
   }
-  void watch() {
+  void startDeadlineTimer() {
     loop_.cancel(timer_);
-    timer_ = loop_.at(std::max(until_, loop_.now()), [this] {
+    timer_ = loop_.at(std::max(deadline_, loop_.now()), [this] {
       timer_ = {};
       end(Reason::executionTimeout);
     });
   }
-  void tell(RequestOutcome how, std::shared_ptr<const http::Message> answer) {
-    loop_.soon(
-        [done = std::exchange(done_, nullptr), how, answer = std::move(answer)] { done(how, answer); });
+  void complete(RequestOutcome result, std::shared_ptr<const http::Message> response) {
+    loop_.soon([done = std::exchange(done_, nullptr), result, response = std::move(response)] {
+      done(result, response);
+    });
   }
 
   HttpClient& httpClient_;
   Address to_;
   http::Reader reader_{http::Reader::Kind::answer};
-  std::shared_ptr<http::Message> head_;  // of the answer that is being read
-  http::Body body_;                      // likewise
-  std::string held_;                     // what has come of it
-  Done done_;
+  std::shared_ptr<http::Message> head_;  // of the response being read
+  http::Body body_;                      // of the response being read
+  std::string bodyBytes_;                // received so far
+  Callback done_;
   std::string attempt_;
   sidecar::Loop::TimerId timer_;
-  Span until_{};
+  Span deadline_{};
   Span sendBy_ = Span::max();
   Span idle_{};
-  std::uint64_t number_ = 0;         // of the request under way
-  std::uint64_t writtenBefore_ = 0;  // bytes of earlier requests
-  bool up_ = false;
-  bool headOnly_ = false;
-  bool skipped_ = false;
-  bool spoilt_ = false;
-  bool keeps_ = true;
+  std::uint64_t number_ = 0;         // of the current request
+  std::uint64_t writtenBefore_ = 0;  // bytes written for earlier requests
+  bool connected_ = false;
+  bool isHead_ = false;
+  bool skippedResponse_ = false;
+  bool malformed_ = false;
+  bool reusable_ = true;
 };
 
 HttpClient::~HttpClient() = default;
@@ -212,49 +216,49 @@
 }
 
 HttpClient::InFlight HttpClient::send(const Address& to, http::Gather request, std::string attempt,
-                                      bool headOnly, Span until, Done done, Span sendBy) {
-  const std::uint64_t number = ++requests_;
+                                      bool isHead, Span deadline, Callback done, Span sendBy) {
+  const std::uint64_t number = ++lastNumber_;
   for (;;) {
-    const auto kept = idle_.find(to);
-    if (kept == idle_.end() || kept->second.empty()) break;
-    const std::shared_ptr<ClientConnection> way =
-        kept->second.back();  // the one used last: the others may end of idleness
-    kept->second.pop_back();
-    if (way->ended()) continue;
-    busy_[way.get()] = way;
-    if (way->stale()) {
-      way->end(Reason::idle);
+    const auto idle = idle_.find(to);
+    if (idle == idle_.end() || idle->second.empty()) break;
+    const std::shared_ptr<ClientConnection> connection =
+        idle->second.back();  // most recently used; the others may close when idle
+    idle->second.pop_back();
+    if (connection->ended()) continue;
+    busy_[connection.get()] = connection;
+    if (connection->stale()) {
+      connection->end(Reason::idle);
       continue;
     }
-    way->request(number, std::move(request), std::move(attempt), headOnly, until, std::move(done));
-    return {way, number};
+    connection->request(number, std::move(request), std::move(attempt), isHead, deadline, std::move(done));
+    return {connection, number};
   }
-  ++dialled_;
-  const auto way = std::make_shared<ClientConnection>(*this, to);
-  busy_[way.get()] = way;
-  way->connect(std::max(sendBy, loop_.now()));
-  way->request(number, std::move(request), std::move(attempt), headOnly, until, std::move(done));
-  return {way, number};
+  ++dialCount_;
+  const auto connection = std::make_shared<ClientConnection>(*this, to);
+  busy_[connection.get()] = connection;
+  connection->connect(std::max(sendBy, loop_.now()));
+  connection->request(number, std::move(request), std::move(attempt), isHead, deadline, std::move(done));
+  return {connection, number};
 }
 
-void HttpClient::release(const std::shared_ptr<ClientConnection>& way) {
-  auto& kept = idle_[way->to()];
-  if (kept.size() >= terms_.mostIdle) return way->end(Reason::crowded);
-  busy_.erase(way.get());
-  kept.push_back(way);
-  way->keep(way->idle());
+void HttpClient::release(const std::shared_ptr<ClientConnection>& connection) {
+  auto& idle = idle_[connection->to()];
+  if (idle.size() >= options_.maxIdlePerAddress) return connection->end(Reason::crowded);
+  busy_.erase(connection.get());
+  idle.push_back(connection);
+  connection->startIdle(connection->idle());
 }
 
-void HttpClient::forget(const ClientConnection* way) {
-  const auto kept = idle_.find(way->to());
-  if (kept != idle_.end()) {
-    auto& list = kept->second;
-    list.erase(
-        std::remove_if(list.begin(), list.end(), [&](const auto& other) { return other.get() == way; }),
-        list.end());
-    if (list.empty()) idle_.erase(kept);
+void HttpClient::remove(const ClientConnection* connection) {
+  const auto idle = idle_.find(connection->to());
+  if (idle != idle_.end()) {
+    auto& connections = idle->second;
+    connections.erase(std::remove_if(connections.begin(), connections.end(),
+                                     [&](const auto& other) { return other.get() == connection; }),
+                      connections.end());
+    if (connections.empty()) idle_.erase(idle);
   }
-  busy_.erase(way);
+  busy_.erase(connection);
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/http_client.hpp
+++ b/src/mesh/transport/http_client.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// Requests sent over HTTP to other processes and to the server here, over connections that are kept. It owns
-// the connections; it must never give an answer to a request that it does not belong to, and never say that
-// something was not sent when a byte of it may have been.
+// HTTP client with connection reuse, for requests to other processes and to the local server. Invariants: a
+// response is never delivered to a request that it does not belong to, and a request is never reported as not
+// sent when a byte of it may have been written.
 
 #include <cstdint>
 #include <functional>
@@ -19,35 +19,35 @@
 
 namespace rackroute::mesh {
 
-/// How a request ended.
+/// The result of a request.
 enum class RequestOutcome {
-  answered,
-  notSent,   // no byte of it was written
-  notWhole,  // a part of it was written, and the rest never will be
-  broken,    // it was written, and the connection ended without a whole answer
-  silent,    // no answer in time
-  spoilt,    // bytes that are no answer to it
+  completed,
+  notSent,            // no byte was written
+  partiallySent,      // only part of it was written
+  connectionLost,     // it was written, and the connection closed before a complete response
+  timedOut,           // no response before the deadline
+  malformedResponse,  // an invalid response, or one to another request
 };
 
 class HttpClient {
   class ClientConnection;
 
  public:
-  struct Terms {
-    Span dial{};    // for a connection to come up
-    Span idle{};    // a connection is kept unused, unless its peer says less
-    Span unread{};  // without word of a peer's kernel, a connection is over; 0: as the kernel has it
-    std::size_t mostAnswer = 0;  // bytes of a body
-    std::size_t mostIdle = 0;    // connections kept for one address
+  struct Options {
+    Span dialTimeout{};                 // for establishing a connection
+    Span idleTimeout{};                 // of unused connections; less if the peer announces less
+    Span userTimeout{};                 // TCP_USER_TIMEOUT; 0: the system default
+    std::size_t maxBodyBytes = 0;       // of a response
+    std::size_t maxIdlePerAddress = 0;  // unused connections per address
   };
-  using Done = std::function<void(RequestOutcome, std::shared_ptr<const http::Message>)>;
+  using Callback = std::function<void(RequestOutcome, std::shared_ptr<const http::Message>)>;
 
-  /// A request under way, for who may want to cancel it. May outlive the request, not the client.
+  /// A handle to cancel a request. May outlive the request, but not the client.
   class InFlight {
    public:
     InFlight() = default;
-    /// Ends the connection that the request is on, so that its peer knows; done is not called any more.
-    /// Nothing happens where the request has ended.
+    /// Closes the connection of the request, so that the peer notices. The callback is not called. Does
+    /// nothing if the request has ended.
     void cancel();
 
    private:
@@ -56,31 +56,32 @@
         : connection_(std::move(connection)), number_(number) {}
 
     std::weak_ptr<ClientConnection> connection_;
-    std::uint64_t number_ = 0;  // of the request among those of all connections
+    std::uint64_t number_ = 0;  // of the request, unique within the client
   };
 
-  HttpClient(sidecar::Loop& loop, Terms terms) : loop_(loop), terms_(terms) {}
+  HttpClient(sidecar::Loop& loop, Options options) : loop_(loop), options_(options) {}
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
   ~HttpClient();
 
-  /// attempt: what an answer must name to be this request's; empty: any does. done is called exactly once, in
-  /// a later turn, unless it is cancelled; until: silence is the end of it then; sendBy: without a connection
-  /// by then it is not sent.
-  InFlight send(const Address& to, http::Gather request, std::string attempt, bool headOnly, Span until,
-                Done done, Span sendBy = Span::max());
-  [[nodiscard]] std::size_t dialled() const { return dialled_; }
+  /// Sends a request. attempt: the attempt ID that the response must carry; empty: not checked. deadline:
+  /// when to give up waiting for the response. sendBy: latest time to establish a connection, or the request
+  /// is not sent. done is called exactly once, in a later turn of the event loop, unless the request is
+  /// cancelled.
+  InFlight send(const Address& to, http::Gather request, std::string attempt, bool isHead, Span deadline,
+                Callback done, Span sendBy = Span::max());
+  [[nodiscard]] std::size_t dialCount() const { return dialCount_; }
 
  private:
-  void release(const std::shared_ptr<ClientConnection>& way);
-  void forget(const ClientConnection* way);
+  void release(const std::shared_ptr<ClientConnection>& connection);
+  void remove(const ClientConnection* connection);
 
   sidecar::Loop& loop_;
-  Terms terms_;
+  Options options_;
   std::map<Address, std::vector<std::shared_ptr<ClientConnection>>> idle_;
   std::map<const ClientConnection*, std::shared_ptr<ClientConnection>> busy_;
-  std::size_t dialled_ = 0;
-  std::uint64_t requests_ = 0;
+  std::size_t dialCount_ = 0;
+  std::uint64_t lastNumber_ = 0;
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/http_server_connection.cpp
+++ b/src/mesh/transport/http_server_connection.cpp
@@ -8,11 +8,11 @@
 using http::Progress;
 using sidecar::Reason;
 
-constexpr std::size_t kMostAhead = 64 * 1024;  // bytes of further requests read while one is at work
+constexpr std::size_t kMaxReadAhead = 64 * 1024;  // bytes read ahead while a request is being handled
 
 }  // namespace
 
-std::string_view phraseOf(std::uint32_t status) {
+std::string_view statusText(std::uint32_t status) {
   switch (status) {
     case 200:
       return "200 OK";
@@ -45,81 +45,82 @@
                                            Poco::Net::StreamSocket socket, std::string peer)
     : Connection(loop, "connection", std::move(socket), std::move(peer)),
       shared_(std::move(shared)),
-      reader_(http::Reader::Kind::query, shared_->mostBody) {}
+      reader_(http::Reader::Kind::query, shared_->maxBodyBytes) {}
 
 void HttpServerConnection::start() {
   shared_->connections[this] = std::static_pointer_cast<HttpServerConnection>(shared_from_this());
-  await();
+  startTimer();
   open();
-  readNow();  // most often the request is there already
+  readNow();  // the request has usually arrived already
 }
 
-// One timer: for the next request's first byte, then for its head, then for its body.
-void HttpServerConnection::await() {
+// One timer covers the idle time before a request, then its head, then its body.
+void HttpServerConnection::startTimer() {
   loop_.cancel(timer_);
-  Span wait = shared_->idle;
-  const bool begun = reader_.begun(in_);
-  if (begun) wait = headerSeen_ ? shared_->body : shared_->header;
-  timer_ = loop_.in(wait, [this, begun] {
+  Span wait = shared_->idleTimeout;
+  const bool receiving = reader_.begun(in_);
+  if (receiving) wait = headerSeen_ ? shared_->bodyTimeout : shared_->headerTimeout;
+  timer_ = loop_.in(wait, [this, receiving] {
     timer_ = {};
-    if (begun) return refuse(408);
+    if (receiving) return reject(408);
     finish(Reason::idle);
   });
 }
 
 void HttpServerConnection::received() {
   if (request_) {
-    if (in_.size() > kMostAhead) pauseReading(true);
+    if (in_.size() > kMaxReadAhead) pauseReading(true);
     return;
   }
-  const bool begun = begunAt_ >= Span{0};
+  const bool receiving = receivingSince_ >= Span{0};
   const Progress progress = reader_.read(in_);
   switch (progress) {
     case Progress::more: {
-      const bool headNow = in_.find("\r\n\r\n") != std::string::npos;
-      if (!begun || headNow != headerSeen_) {
-        begunAt_ = loop_.now();
-        headerSeen_ = headNow;
-        await();
+      const bool headComplete = in_.find("\r\n\r\n") != std::string::npos;
+      if (!receiving || headComplete != headerSeen_) {
+        receivingSince_ = loop_.now();
+        headerSeen_ = headComplete;
+        startTimer();
       }
       return;
     }
     case Progress::done:
       break;
     case Progress::malformed:
-      return refuse(400);
+      return reject(400);
     case Progress::headTooLong:
-      return refuse(431);
+      return reject(431);
     case Progress::bodyTooLong:
-      return refuse(413);
+      return reject(413);
   }
   loop_.cancel(timer_);
-  begunAt_ = Span{-1};
+  receivingSince_ = Span{-1};
   headerSeen_ = false;
   request_ = std::make_shared<const http::Message>(reader_.take(in_));
   ++messages_;
-  shared_->asked(std::static_pointer_cast<HttpServerConnection>(shared_from_this()), request_);
+  shared_->onRequest(std::static_pointer_cast<HttpServerConnection>(shared_from_this()), request_);
 }
 
-void HttpServerConnection::refuse(std::uint32_t status) {
+void HttpServerConnection::reject(std::uint32_t status) {
   http::Gather pieces;
-  pieces.text("HTTP/1.1 " + std::string(phraseOf(status)) +
+  pieces.text("HTTP/1.1 " + std::string(statusText(status)) +
               "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   in_.clear();
   send(std::move(pieces));
   finish(Reason::badMessage);
 }
 
-bool HttpServerConnection::closes() const { return shared_->closing || !request_->keepsOpen(); }
+bool HttpServerConnection::closesAfterResponse() const { return shared_->draining || !request_->keepsOpen(); }
 
-void HttpServerConnection::answered(http::Gather pieces, bool close) {
+void HttpServerConnection::sendResponse(http::Gather pieces, bool close) {
   request_.reset();
   send(std::move(pieces));
   if (ended()) return;
   if (close) return finish(Reason::done);
-  await();
+  startTimer();
   pauseReading(false);
-  // The next request may be there already; in a turn of its own, as this is often a call out of received().
+  // The next request may have been received already. Handled in another turn, because this is often called
+  // from received().
   if (!in_.empty()) {
     loop_.soon([self = std::static_pointer_cast<HttpServerConnection>(shared_from_this())] {
       if (!self->ended() && !self->finishing() && !self->request_) self->received();
@@ -127,11 +128,11 @@
   }
 }
 
-void HttpServerConnection::answer(std::uint32_t status, std::string_view fields, std::string_view body) {
+void HttpServerConnection::respond(std::uint32_t status, std::string_view fields, std::string_view body) {
   if (!request_ || ended() || finishing()) return;
-  const bool close = closes();
+  const bool close = closesAfterResponse();
   std::string text = "HTTP/1.1 ";
-  text += phraseOf(status);
+  text += statusText(status);
   text += "\r\n";
   text += fields;
   text += "Content-Length: " + std::to_string(body.size()) +
@@ -139,37 +140,38 @@
   if (request_->word(0) != "HEAD") text += body;
   http::Gather pieces;
   pieces.text(std::move(text));
-  answered(std::move(pieces), close);
+  sendResponse(std::move(pieces), close);
 }
 
-void HttpServerConnection::pass(const std::shared_ptr<const http::Message>& message, std::string_view fields,
-                                std::string_view but) {
+void HttpServerConnection::relay(const std::shared_ptr<const http::Message>& message, std::string_view fields,
+                                 std::string_view excluded) {
   if (!request_ || ended() || finishing()) return;
-  const bool close = closes();
+  const bool close = closesAfterResponse();
   std::string head = "HTTP/1.1 ";
   head += message->word(1);
   head += ' ';
   head += message->word(2);
   head += "\r\n";
-  for (const std::string_view lines : message->endToEnd(but)) head += lines;
+  for (const std::string_view lines : message->endToEnd(excluded)) head += lines;
   head += fields;
-  const bool bodiless = message->status() == 204 || message->status() == 304;
-  if (!bodiless) {
-    const bool asksHead = request_->word(0) == "HEAD";
-    head += "Content-Length: " +
-            std::to_string(asksHead ? message->length().value_or(0) : message->body().size()) + "\r\n";
+  const bool withoutBody = message->status() == 204 || message->status() == 304;
+  if (!withoutBody) {
+    const bool isHead = request_->word(0) == "HEAD";
+    head +=
+        "Content-Length: " + std::to_string(isHead ? message->length().value_or(0) : message->body().size()) +
+        "\r\n";
   }
   head += close ? "Connection: close\r\n\r\n" : "\r\n";
   http::Gather pieces;
   pieces.text(std::move(head));
   pieces.keep(message);
   pieces.view(message->body());
-  answered(std::move(pieces), close);
+  sendResponse(std::move(pieces), close);
 }
 
 void HttpServerConnection::gone(Reason) {
   loop_.cancel(timer_);
-  if (request_) shared_->left(*this);
+  if (request_) shared_->onAbandoned(*this);
   shared_->connections.erase(this);
 }
 
--- a/src/mesh/transport/http_server_connection.hpp
+++ b/src/mesh/transport/http_server_connection.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// One connection on which HTTP requests come: reads them whole, one at a time, and writes the answers. It
-// owns what is read and not yet handed on; it must never let an answer go to a request that it does not
-// belong to.
+// A server-side HTTP connection. Reads requests one at a time, each with its complete body, and writes the
+// responses. Invariant: a response is never sent to a request that it does not belong to.
 
 #include <functional>
 #include <map>
@@ -17,47 +16,48 @@
 
 class HttpServerConnection : public sidecar::Connection {
  public:
-  struct Shared {  // what all connections at one address share
+  struct Shared {  // shared by all connections of a listener
     std::function<void(const std::shared_ptr<HttpServerConnection>&, std::shared_ptr<const http::Message>)>
-        asked;
-    std::function<void(HttpServerConnection&)> left;  // before its answer
-    std::size_t mostBody = http::kLongestBody;
-    Span header = std::chrono::seconds(3);  // from a request's first byte to its head's last
-    Span body = std::chrono::seconds(10);   // from there to its body's last byte
-    Span idle = std::chrono::seconds(15);
-    bool closing = false;  // the process leaves: each connection ends with its next answer
-    std::map<const HttpServerConnection*, std::shared_ptr<HttpServerConnection>>
-        connections{};  // all that are there
+        onRequest;
+    std::function<void(HttpServerConnection&)> onAbandoned;  // the connection closed before the response
+    std::size_t maxBodyBytes = http::kLongestBody;
+    Span headerTimeout = std::chrono::seconds(3);  // from the first byte of a request to the end of its head
+    Span bodyTimeout = std::chrono::seconds(10);   // from the end of the head to the end of the body
+    Span idleTimeout = std::chrono::seconds(15);
+    bool draining = false;  // each connection is closed after its next response
+    /// All open connections.
+    std::map<const HttpServerConnection*, std::shared_ptr<HttpServerConnection>> connections{};
   };
   HttpServerConnection(sidecar::Loop& loop, std::shared_ptr<Shared> shared, Poco::Net::StreamSocket socket,
                        std::string peer);
 
   void start();
-  /// fields: whole lines. The body goes out with its length.
-  void answer(std::uint32_t status, std::string_view fields, std::string_view body);
-  /// An answer read elsewhere, with more fields (whole lines); but: a field of it that is left out.
-  void pass(const std::shared_ptr<const http::Message>& message, std::string_view fields,
-            std::string_view but = {});
-  [[nodiscard]] bool asking() const { return request_ != nullptr; }
+  /// Sends a response. fields: complete header lines; Content-Length is added.
+  void respond(std::uint32_t status, std::string_view fields, std::string_view body);
+  /// Relays a response from another connection with additional header lines, without the header `excluded`.
+  void relay(const std::shared_ptr<const http::Message>& message, std::string_view fields,
+             std::string_view excluded = {});
+  [[nodiscard]] bool hasRequest() const { return request_ != nullptr; }
 
  protected:
   void received() override;
   void gone(sidecar::Reason reason) override;
 
  private:
-  void refuse(std::uint32_t status);
-  void await();
-  void answered(http::Gather pieces, bool close);
-  [[nodiscard]] bool closes() const;
+  void reject(std::uint32_t status);
+  void startTimer();
+  void sendResponse(http::Gather pieces, bool close);
+  [[nodiscard]] bool closesAfterResponse() const;
 
   std::shared_ptr<Shared> shared_;
   http::Reader reader_;
   std::shared_ptr<const http::Message> request_;
   sidecar::Loop::TimerId timer_;
-  Span begunAt_{-1};
+  Span receivingSince_{-1};
   bool headerSeen_ = false;
 };
 
-std::string_view phraseOf(std::uint32_t status);
+/// The status code with its reason phrase.
+std::string_view statusText(std::uint32_t status);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/listener.cpp
+++ b/src/mesh/transport/listener.cpp
@@ -15,14 +15,14 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kBacklog = 512;        // connections; a burst of new ones between two turns
-constexpr int kAccepted = 32;        // connections a turn; a storm of them must not hold up requests
-constexpr Span kAcceptPause = 20ms;  // without descriptors; a few requests' time, and no spinning
+constexpr int kBacklog = 512;
+constexpr int kMaxAcceptsPerTurn = 32;  // so that a burst of connections does not delay requests
+constexpr Span kAcceptPause = 20ms;     // when no file descriptors are left
 
 }  // namespace
 
-Listener::Listener(sidecar::Loop& loop, const Address& address, Accepted accepted)
-    : loop_(loop), accepted_(std::move(accepted)) {
+Listener::Listener(sidecar::Loop& loop, const Address& address, OnAccept onAccept)
+    : loop_(loop), onAccept_(std::move(onAccept)) {
   socket_.bind(Poco::Net::SocketAddress(address.value), true, false);
   socket_.listen(kBacklog);
   socket_.setBlocking(false);
@@ -44,24 +44,24 @@
 void Listener::accept(Poco::Net::ReadableNotification* event) {
   event->release();
   loop_.guarded([this] {
-    for (int i = 0; i < kAccepted && open_; ++i) {
+    for (int i = 0; i < kMaxAcceptsPerTurn && open_; ++i) {
       sockaddr_storage from{};
       socklen_t size = sizeof(from);
       const int descriptor = ::accept4(socket_.impl()->sockfd(), reinterpret_cast<sockaddr*>(&from), &size,
                                        SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (descriptor < 0) {
         if (errno != EMFILE && errno != ENFILE) return;
-        // Guards against a loop that spins on a connection for which there is no descriptor.
+        // Pauses accepting, as the pending connection would keep the socket readable and the loop spinning.
         const Poco::Observer<Listener, Poco::Net::ReadableNotification> readable(*this, &Listener::accept);
         loop_.removeEventHandler(socket_, readable);
         loop_.in(kAcceptPause, [this, readable] {
           if (open_) loop_.addEventHandler(socket_, readable);
         });
-        log(LogLevel::warning, "accept", "", "no descriptor left");
+        log(LogLevel::warning, "accept", "", "out of file descriptors; accepting is paused");
         return;
       }
       const Poco::Net::SocketAddress peer(reinterpret_cast<sockaddr*>(&from), size);
-      accepted_(Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(descriptor)), peer.toString());
+      onAccept_(Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(descriptor)), peer.toString());
     }
   });
 }
--- a/src/mesh/transport/listener.hpp
+++ b/src/mesh/transport/listener.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// One address that connections come to. It owns the socket and hands on what it accepts; it must never be
-// stopped by a connection that fails.
+// A listening TCP socket that passes accepted connections to a callback. Errors of single connections do not
+// stop it.
 
 #include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/SocketNotification.h>
@@ -15,9 +15,9 @@
 
 class Listener {
  public:
-  using Accepted = std::function<void(Poco::Net::StreamSocket socket, std::string peer)>;
-  /// Throws Poco's exceptions where the address can't be had.
-  Listener(sidecar::Loop& loop, const Address& address, Accepted accepted);
+  using OnAccept = std::function<void(Poco::Net::StreamSocket socket, std::string peer)>;
+  /// Throws Poco exceptions if it cannot listen on the address.
+  Listener(sidecar::Loop& loop, const Address& address, OnAccept onAccept);
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
   ~Listener();
@@ -27,7 +27,7 @@
   void accept(Poco::Net::ReadableNotification* event);
 
   sidecar::Loop& loop_;
-  Accepted accepted_;
+  OnAccept onAccept_;
   Poco::Net::ServerSocket socket_;
   bool open_ = false;
 };
--- a/src/mesh/transport/log.hpp
+++ b/src/mesh/transport/log.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// The log of the mesh's programs: JSON lines on standard error, each with its step, its peer and what
-// happened. It owns nothing but the level and must never decide anything.
+// Logging of the mesh programs: one JSON object per line, with the step, the peer and a message.
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -11,9 +10,10 @@
 
 enum class LogLevel { info, warning, error };
 
-/// program: shown in every line. level: info, warning or error; false: no such level.
+/// program: written in every line. level: info, warning or error; returns false for other values.
 bool openLog(std::string_view program, std::string_view level);
-void log(LogLevel weight, std::string_view step, std::string_view peer, std::string_view what,
-         nlohmann::json more = nullptr);
+/// fields: an object whose members are added to the line.
+void log(LogLevel level, std::string_view step, std::string_view peer, std::string_view what,
+         nlohmann::json fields = nullptr);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/process_start.cpp
+++ b/src/mesh/transport/process_start.cpp
@@ -14,25 +14,25 @@
 namespace rackroute::mesh {
 namespace {
 
-constexpr const char* kUsualPlace = "/etc/rackroute/node.json";
+constexpr const char* kDefaultPath = "/etc/rackroute/node.json";
 
 }  // namespace
 
 std::string settingsPath(const std::string& given) {
   if (!given.empty()) return given;
-  const char* told = std::getenv("RACKROUTE_CONFIG");
-  return told != nullptr && *told != '\0' ? told : kUsualPlace;
+  const char* fromEnvironment = std::getenv("RACKROUTE_CONFIG");
+  return fromEnvironment != nullptr && *fromEnvironment != '\0' ? fromEnvironment : kDefaultPath;
 }
 
 Result<Settings> readSettingsFile(const std::string& path) {
   std::ifstream file(path);
-  if (!file) return failure("settings", "can't be read", path);
+  if (!file) return failure("settings", "cannot be opened", path);
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   Result<Settings> settings = readSettings(text);
   if (!settings) {
-    Error wrong = settings.error();
-    wrong.peer = path;
-    return wrong;
+    Error withPath = settings.error();
+    withPath.peer = path;
+    return withPath;
   }
   return settings;
 }
@@ -46,8 +46,8 @@
 }
 
 int guardedMain(const char* program, const std::function<int()>& body) {
-  // Guards against word of new settings that comes before its handler is there, and would end the process.
-  // The program reads the settings anew once it is.
+  // A SIGHUP before its handler is installed would end the process. The program reloads the settings once the
+  // handler is installed, so ignoring the signal until then loses nothing.
   std::signal(SIGHUP, SIG_IGN);
   try {
     return body();
--- a/src/mesh/transport/process_start.hpp
+++ b/src/mesh/transport/process_start.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// What both programs do at their start: read the command line and the settings file, tell what is wrong in
-// one line. It owns nothing.
+// Startup code shared by the mesh programs: settings file, resource limits and error reporting.
 
 #include <functional>
 #include <string>
@@ -13,12 +12,12 @@
 
 inline constexpr const char* kVersionText = "rackroute 0.2.0";
 
-/// The file that RACKROUTE_CONFIG names, or the one given.
 Result<Settings> readSettingsFile(const std::string& path);
+/// The given path; if empty, that of RACKROUTE_CONFIG or else the default path.
 std::string settingsPath(const std::string& given);
-/// No more descriptors than the settings tells, as far as the machine lets.
+/// Sets the file descriptor limit from the settings, within the system's hard limit.
 void limitDescriptors(const Settings& settings);
-/// Runs it; what it throws becomes one line on standard error and exit code 1.
+/// Runs `body`; reports an exception as one line on standard error and returns exit code 1.
 int guardedMain(const char* program, const std::function<int()>& body);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/session_connection.cpp
+++ b/src/mesh/transport/session_connection.cpp
@@ -17,46 +17,47 @@
 
 using sidecar::Reason;
 
-constexpr std::size_t kLongestWord = 16 << 20;           // bytes; the largest configuration whole
-constexpr std::size_t kMostBacklog = 24 << 20;           // bytes that a peer may leave unread
-constexpr int kUnread = 2500;                            // milliseconds without a word of a peer's kernel
-constexpr Span kBetween = std::chrono::milliseconds(1);  // from one packed word to the next
-constexpr std::string_view kPacked = "z";  // begins the line before a packed word; JSON begins with {
+constexpr std::size_t kMaxMessage = 16 << 20;                 // bytes
+constexpr std::size_t kMaxBacklog = 24 << 20;                 // bytes waiting to be sent to a peer
+constexpr int kUserTimeoutMs = 2500;                          // TCP_USER_TIMEOUT, milliseconds
+constexpr Span kMessagePause = std::chrono::milliseconds(1);  // between two compressed messages
+// Starts the size line before a compressed message; JSON messages start with {.
+constexpr std::string_view kCompressedMark = "z";
 
 }  // namespace
 
-void SessionConnection::accepted(Ends ends) {
-  ends_ = std::move(ends);
+void SessionConnection::accepted(Callbacks callbacks) {
+  callbacks_ = std::move(callbacks);
   open();
   opened();
 }
 
-void SessionConnection::connect(const Address& to, Span within, Ends ends) {
-  ends_ = std::move(ends);
-  dialTimer_ = loop_.in(within, [this] {
+void SessionConnection::connect(const Address& address, Span timeout, Callbacks callbacks) {
+  callbacks_ = std::move(callbacks);
+  dialTimer_ = loop_.in(timeout, [this] {
     dialTimer_ = {};
     end(Reason::dialTimeout);
   });
-  dial(Poco::Net::SocketAddress(to.value));
+  dial(Poco::Net::SocketAddress(address.value));
 }
 
 void SessionConnection::opened() {
   loop_.cancel(dialTimer_);
-  ::setsockopt(descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnread, sizeof(kUnread));
-  if (ends_.up) ends_.up();
+  ::setsockopt(descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof(kUserTimeoutMs));
+  if (callbacks_.onOpened) callbacks_.onOpened();
 }
 
-void SessionConnection::say(std::shared_ptr<const std::string> text) {
+void SessionConnection::sendMessage(std::shared_ptr<const std::string> text) {
   if (ended()) return;
-  // Guards against a peer that reads nothing: what waits for it must not eat the memory.
-  if (backlog() > kMostBacklog) return end(Reason::stalled);
+  // Bounds the memory for a peer that does not read.
+  if (backlog() > kMaxBacklog) return end(Reason::stalled);
   http::Gather pieces;
-  if (worthPacking(*text)) {
-    if (auto packed = compressor_.packed(text)) {
-      pieces.text(std::string(kPacked) + std::to_string(packed->size()) + ' ' + std::to_string(text->size()) +
-                  '\n');
-      pieces.view(*packed);
-      pieces.keep(std::move(packed));
+  if (shouldCompress(*text)) {
+    if (auto compressed = compressor_.compress(text)) {
+      pieces.text(std::string(kCompressedMark) + std::to_string(compressed->size()) + ' ' +
+                  std::to_string(text->size()) + '\n');
+      pieces.view(*compressed);
+      pieces.keep(std::move(compressed));
       return send(std::move(pieces));
     }
   }
@@ -66,15 +67,15 @@
   send(std::move(pieces));
 }
 
-bool SessionConnection::hear(std::string_view text) {
-  const nlohmann::json word = nlohmann::json::parse(text, nullptr, false);
-  if (word.is_discarded() || !word.is_object()) {
-    log(LogLevel::warning, "session", name_, "a word that can't be read");
+bool SessionConnection::deliver(std::string_view text) {
+  const nlohmann::json message = nlohmann::json::parse(text, nullptr, false);
+  if (message.is_discarded() || !message.is_object()) {
+    log(LogLevel::warning, "session", name_, "received a message that is not a JSON object");
     end(Reason::badMessage);
     return false;
   }
   try {
-    ends_.heard(word);
+    callbacks_.onMessage(message);
   } catch (const nlohmann::json::exception& error) {
     log(LogLevel::warning, "session", name_, error.what());
     end(Reason::badMessage);
@@ -82,21 +83,22 @@
   return !ended();
 }
 
-// The line with the sizes ends at line; the packed bytes follow it.
-SessionConnection::Piece SessionConnection::packedWord(std::size_t& from, std::size_t line) {
+// Reads a compressed message. The size line starts at `from` and ends at `line`.
+SessionConnection::ReadResult SessionConnection::readCompressed(std::size_t& from, std::size_t line) {
   const char* const last = in_.data() + line;
-  std::size_t packed = 0;
-  std::size_t plain = 0;
-  const auto first = std::from_chars(in_.data() + from + kPacked.size(), last, packed);
+  std::size_t compressedSize = 0;
+  std::size_t plainSize = 0;
+  const auto first = std::from_chars(in_.data() + from + kCompressedMark.size(), last, compressedSize);
   const auto second =
-      first.ec == std::errc{} && first.ptr != last ? std::from_chars(first.ptr + 1, last, plain) : first;
-  if (second.ec != std::errc{} || second.ptr != last || packed > kLongestWord || plain > kLongestWord)
-    return Piece::bad;
-  if (in_.size() < line + 1 + packed) return Piece::none;
-  const auto word = unpacked(std::string_view(in_).substr(line + 1, packed), plain);
-  if (!word) return Piece::bad;
-  from = line + 1 + packed;
-  return hear(*word) ? Piece::word : Piece::none;
+      first.ec == std::errc{} && first.ptr != last ? std::from_chars(first.ptr + 1, last, plainSize) : first;
+  if (second.ec != std::errc{} || second.ptr != last || compressedSize > kMaxMessage ||
+      plainSize > kMaxMessage)
+    return ReadResult::malformed;
+  if (in_.size() < line + 1 + compressedSize) return ReadResult::incomplete;
+  const auto message = decompress(std::string_view(in_).substr(line + 1, compressedSize), plainSize);
+  if (!message) return ReadResult::malformed;
+  from = line + 1 + compressedSize;
+  return deliver(*message) ? ReadResult::message : ReadResult::incomplete;
 }
 
 void SessionConnection::received() {
@@ -107,28 +109,28 @@
       scanned_ = in_.size();
       break;
     }
-    const bool packedNow = in_.compare(from, kPacked.size(), kPacked) == 0;
-    if (packedNow) {
-      const Piece piece = packedWord(from, line);
-      if (piece == Piece::bad) {
-        log(LogLevel::warning, "session", name_, "a packed word that can't be read");
+    const bool isCompressed = in_.compare(from, kCompressedMark.size(), kCompressedMark) == 0;
+    if (isCompressed) {
+      const ReadResult result = readCompressed(from, line);
+      if (result == ReadResult::malformed) {
+        log(LogLevel::warning, "session", name_, "received a malformed compressed message");
         return end(Reason::badMessage);
       }
       if (ended()) return;
-      if (piece == Piece::none) {
-        scanned_ = line;  // its sizes are read anew when more has come
+      if (result == ReadResult::incomplete) {
+        scanned_ = line;  // the size line is parsed again when more data arrives
         break;
       }
     } else {
       const std::string_view text = std::string_view(in_).substr(from, line - from);
       from = line + 1;
-      if (!hear(text)) return;
+      if (!deliver(text)) return;
     }
     scanned_ = from;
-    // Guards against a large configuration that holds up a slow machine's requests: what else has come goes
-    // between two of its parts.
-    if (packedNow && from < in_.size()) {
-      loop_.in(kBetween, [self = std::static_pointer_cast<SessionConnection>(shared_from_this())] {
+    // Yields between the parts of a large configuration, so that other events are not delayed on a slow
+    // machine.
+    if (isCompressed && from < in_.size()) {
+      loop_.in(kMessagePause, [self = std::static_pointer_cast<SessionConnection>(shared_from_this())] {
         if (!self->ended()) self->received();
       });
       break;
@@ -136,13 +138,13 @@
   }
   in_.erase(0, from);
   scanned_ -= std::min(scanned_, from);
-  if (from == 0 && ends_.some) ends_.some();
-  if (in_.size() > kLongestWord) end(Reason::badMessage);
+  if (from == 0 && callbacks_.onPartial) callbacks_.onPartial();
+  if (in_.size() > kMaxMessage) end(Reason::badMessage);
 }
 
 void SessionConnection::gone(Reason) {
   loop_.cancel(dialTimer_);
-  if (const auto over = std::exchange(ends_.over, nullptr)) over();
+  if (const auto onClosed = std::exchange(callbacks_.onClosed, nullptr)) onClosed();
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/session_connection.hpp
+++ b/src/mesh/transport/session_connection.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// One session of the mesh's own session: words as JSON, a line each; long ones packed, behind a line with
-// their sizes. It owns what is read and not yet a whole word; it must never hand on half a word, nor take one
-// without end.
+// A session between mesh processes. Messages are JSON, one per line; large ones are compressed and preceded
+// by a line with their sizes. Only complete messages are delivered, and their size is limited.
 
 #include <functional>
 #include <memory>
@@ -17,23 +16,23 @@
 
 class SessionConnection : public sidecar::Connection {
  public:
-  struct Ends {
-    std::function<void()> up;
-    std::function<void(const nlohmann::json&)> heard;
-    std::function<void()> some;  // bytes of a word that is not whole yet
-    std::function<void()> over;  // once, also for a dial that failed
+  struct Callbacks {
+    std::function<void()> onOpened;
+    std::function<void(const nlohmann::json&)> onMessage;
+    std::function<void()> onPartial;  // part of a message was received
+    std::function<void()> onClosed;   // once, also for a failed dial
   };
-  /// compressor: of the whole process; it must outlive the session.
+  /// compressor: shared by all sessions of the process; must outlive them.
   SessionConnection(sidecar::Loop& loop, Compressor& compressor, Poco::Net::StreamSocket socket,
                     std::string peer)
       : Connection(loop, "session", std::move(socket), peer),
         compressor_(compressor),
         name_(std::move(peer)) {}
 
-  void accepted(Ends ends);
-  void connect(const Address& to, Span within, Ends ends);
-  /// One word, without the end of its line.
-  void say(std::shared_ptr<const std::string> text);
+  void accepted(Callbacks callbacks);
+  void connect(const Address& address, Span timeout, Callbacks callbacks);
+  /// text: one message, without a line end.
+  void sendMessage(std::shared_ptr<const std::string> text);
   [[nodiscard]] const std::string& name() const { return name_; }
 
  protected:
@@ -42,14 +41,14 @@
   void gone(sidecar::Reason reason) override;
 
  private:
-  /// The bytes up to its end, taken as a word; false: the session is over.
-  bool hear(std::string_view text);
-  enum class Piece { none, word, bad };
-  Piece packedWord(std::size_t& from, std::size_t line);
+  /// Parses and delivers one message; returns false if the session has ended.
+  bool deliver(std::string_view text);
+  enum class ReadResult { incomplete, message, malformed };
+  ReadResult readCompressed(std::size_t& from, std::size_t line);
 
   Compressor& compressor_;
   std::string name_;
-  Ends ends_;
+  Callbacks callbacks_;
   sidecar::Loop::TimerId dialTimer_;
   std::size_t scanned_ = 0;
 };
--- a/tests/abandoned_requests_test.cpp
+++ b/tests/abandoned_requests_test.cpp
@@ -44,12 +44,12 @@
   // One that waits was never at a server.
   const AdmissionActions waited = here.abandoned(10ms, {2});
   REQUIRE(waited.size() == 1);
-  CHECK(waited[0].told.verdict == Verdict::full);
+  CHECK(waited[0].told.verdict == Verdict::overloaded);
   REQUIRE(here.asked(10ms, {3}, ask(RouteKind::effectful), std::nullopt).empty());
   const AdmissionActions stopped = here.abandoned(20ms, {1});
   REQUIRE(countOf(stopped, AdmissionAction::Kind::cancel) == 1);
   REQUIRE(countOf(stopped, AdmissionAction::Kind::run) == 1);
-  CHECK(stopped.back().ask == AskNo{3});
+  CHECK(stopped.back().ask == InboundRequestId{3});
   // It may not be repeated: the server goes on, and its end is taken as ever.
   CHECK(here.abandoned(30ms, {3}).empty());
   CHECK(countOf(here.ran(40ms, {3}, AtServer::answered, {200, false, nullptr, 0}),
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -12,7 +12,7 @@
 #include "mesh/routing/request_router.hpp"
 #include "mesh/sidecar/sidecar.hpp"
 #include "mesh/storage/store.hpp"
-#include "mesh/transport/calls.hpp"
+#include "mesh/transport/api_endpoints.hpp"
 #include "mesh/transport/compression.hpp"
 #include "mesh_fixtures.hpp"
 
@@ -241,23 +241,24 @@
   REQUIRE(countOf(acts, AdmissionAction::Kind::run) == 1);
   CHECK(std::find_if(acts.begin(), acts.end(), [](const AdmissionAction& a) {
           return a.kind == AdmissionAction::Kind::run;
-        })->ask == AskNo{6});
+        })->ask == InboundRequestId{6});
   // What can't be started in time goes at once.
   const AdmissionActions refused = here.asked(
       0s, {7},
       [] {
         ForwardRequest late = ask(RouteKind::pure, 2, "long");
-        late.aim = 100ms;
+        late.targetLeft = 100ms;
         return late;
       }(),
       std::nullopt);
   REQUIRE(countOf(refused, AdmissionAction::Kind::answer) == 1);
-  CHECK(refused.back().told.verdict == Verdict::full);
+  CHECK(refused.back().told.verdict == Verdict::overloaded);
 }
 
 TEST_CASE("a server that drains, is gone or is another gets nothing, and late calls change nothing") {
   Admission here = admissionWithVoters();
-  CHECK(here.asked(0s, {1}, ask(RouteKind::pure), std::nullopt).back().told.verdict == Verdict::strange);
+  CHECK(here.asked(0s, {1}, ask(RouteKind::pure), std::nullopt).back().told.verdict ==
+        Verdict::unknownServer);
   here.beat(0s, beat("i1", 5));
   Beat leaving = beat("i1", 6);
   leaving.draining = true;
@@ -265,10 +266,10 @@
   CHECK(countOf(here.beat(1s, beat("i1", 5)), AdmissionAction::Kind::tell) == 0);
   CHECK(countOf(here.asked(1500ms, {2}, ask(RouteKind::pure), std::nullopt), AdmissionAction::Kind::run) ==
         1);
-  CHECK(here.asked(3400ms, {3}, ask(RouteKind::pure), std::nullopt).back().told.verdict == Verdict::leaving);
+  CHECK(here.asked(3400ms, {3}, ask(RouteKind::pure), std::nullopt).back().told.verdict == Verdict::draining);
   ForwardRequest elsewhere = ask(RouteKind::pure);
   elsewhere.service = {"line"};
-  CHECK(here.asked(1s, {4}, elsewhere, std::nullopt).back().told.verdict == Verdict::strange);
+  CHECK(here.asked(1s, {4}, elsewhere, std::nullopt).back().told.verdict == Verdict::unknownServer);
 }
 
 TEST_CASE("a key runs once here, repeats get its answer or wait for it, and a return is told to the voters") {
@@ -293,7 +294,7 @@
   here.claimEnded(1s, winClaim(here, second[0].claim));
   const AdmissionActions turned = here.ran(1s, {5}, AtServer::answered, {503, true, nullptr, 0});
   CHECK(countOf(turned, AdmissionAction::Kind::giveBack) == 1);
-  CHECK(turned.back().told.verdict == Verdict::turnedAway);
+  CHECK(turned.back().told.verdict == Verdict::rejectedByServer);
   // Broken off: nobody knows, and nobody runs it again.
   const AdmissionActions third = here.asked(2s, {6}, ask(RouteKind::keyed), "k3");
   here.claimEnded(2s, winClaim(here, third[0].claim));
@@ -308,10 +309,10 @@
   REQUIRE(countOf(claiming, AdmissionAction::Kind::claim) == 1);
   const AdmissionActions over = here.tick(500ms);
   CHECK(countOf(over, AdmissionAction::Kind::giveBack) == 1);
-  CHECK(over.back().told.verdict == Verdict::voteless);
+  CHECK(over.back().told.verdict == Verdict::noQuorum);
   const AdmissionActions next = here.asked(501ms, {2}, ask(RouteKind::keyed), "k2");
   REQUIRE(next.size() == 1);
-  CHECK(next[0].told.verdict == Verdict::voteless);
+  CHECK(next[0].told.verdict == Verdict::noQuorum);
   // Voters that are there may only be slow; without any decision for longer they are taken for gone, and
   // clients that came back at once would use up their tries before the core is back.
   CHECK(next[0].told.wait < 500ms);
@@ -320,7 +321,7 @@
   CHECK(here.tick(1300ms).back().told.wait >= 1s);
   here.claims().reach(1);
   const AdmissionActions alone = here.asked(5s, {3}, ask(RouteKind::keyed), "k3");
-  CHECK(alone.back().told.verdict == Verdict::voteless);
+  CHECK(alone.back().told.verdict == Verdict::noQuorum);
   CHECK(alone.back().told.wait >= 1s);
   here.claims().reach(3);
   const AdmissionActions back = here.asked(6s, {5}, ask(RouteKind::keyed), "k5");
@@ -343,7 +344,7 @@
     const TryNo asked = send(asking);
     CHECK(asking[0].at == first[0].at);
     CHECK(asking[0].ask.id == first[0].ask.id);
-    CHECK(asking[0].ask.outcomeOf == LifeNo{1});
+    CHECK(asking[0].ask.outcomeQuery == LifeNo{1});
     ForwardReply told;
     SECTION("no answer: 502") {
       for (const ForwardResult how : {ForwardResult::broken, ForwardResult::notSent}) {
@@ -360,11 +361,11 @@
       CHECK(here.forwarded(1s, {1}, asked, ForwardResult::told, told, 503, nullptr)[0].status == 502);
     }
     SECTION("it never came: to another server, and if none takes it, refused") {
-      told.verdict = Verdict::neverCame;
+      told.verdict = Verdict::notReceived;
       const RoutingActions acts = here.forwarded(1s, {1}, asked, ForwardResult::told, told, 503, nullptr);
       const TryNo second = send(acts);
       CHECK(acts[0].at != first[0].at);
-      told.verdict = Verdict::full;
+      told.verdict = Verdict::overloaded;
       CHECK(here.forwarded(1s, {1}, second, ForwardResult::told, told, 503, nullptr)[0].status == 503);
     }
     SECTION("word that it never came, too long after it was sent, is not believed") {
@@ -376,7 +377,7 @@
       slow.configured(items);
       const TryNo old = send(slow.asked(1s, {1}, {"a.example", "/look/1", 60s}));
       const TryNo question = send(slow.forwarded(2s, {1}, old, ForwardResult::broken, {}, 0, nullptr));
-      told.verdict = Verdict::neverCame;
+      told.verdict = Verdict::notReceived;
       CHECK(slow.forwarded(11s, {1}, question, ForwardResult::told, told, 503, nullptr)[0].status == 502);
     }
     SECTION("no word before its client's time is over: 504") {
@@ -389,7 +390,7 @@
     RequestRouter here = caller(RouteKind::effectful);
     TryNo sent = send(here.asked(1s, {1}, kAsked));
     ForwardReply full;
-    full.verdict = Verdict::full;
+    full.verdict = Verdict::overloaded;
     sent = send(here.forwarded(1s, {1}, sent, ForwardResult::told, full, 503, nullptr));
     const RoutingActions acts = here.forwarded(1s, {1}, sent, ForwardResult::told, full, 503, nullptr);
     CHECK(acts[0].status == 503);
@@ -407,7 +408,7 @@
   SECTION(
       "a key that another holds is asked for there; a dead holder's is not known, but this one never ran") {
     ForwardReply held;
-    held.verdict = Verdict::held;
+    held.verdict = Verdict::keyClaimed;
     held.holder = Holder{{"there:1"}, {4}, {9}};
     RequestRouter here = caller(RouteKind::keyed);
     const TryNo sent = send(here.asked(1s, {1}, kAsked));
@@ -436,10 +437,10 @@
     const TryNo sent = send(here.asked(1s, {1}, kAsked));
     ForwardReply told;
     told.verdict = Verdict::unknown;
-    told.repeated = true;
+    told.replayed = true;
     CHECK(here.forwarded(1s, {1}, sent, ForwardResult::told, told, 503, nullptr)[0].status == 503);
     RequestRouter first = caller(RouteKind::keyed);
-    told.repeated = false;
+    told.replayed = false;
     CHECK(first
               .forwarded(1s, {1}, send(first.asked(1s, {1}, kAsked)), ForwardResult::told, told, 503,
                          nullptr)[0]
@@ -497,21 +498,21 @@
   json routes = json::array();
   for (int i = 0; i < 300; ++i) routes.push_back(route("r" + std::to_string(i), 1).value);
   const auto word = std::make_shared<const std::string>(routes.dump());
-  REQUIRE(worthPacking(*word));
-  CHECK_FALSE(worthPacking("{}"));
+  REQUIRE(shouldCompress(*word));
+  CHECK_FALSE(shouldCompress("{}"));
   Compressor compressor;
-  const auto packed = compressor.packed(word);
+  const auto packed = compressor.compress(word);
   REQUIRE(packed);
   CHECK(packed->size() * 8 < word->size());
-  CHECK(compressor.packed(word) == packed);
-  CHECK(unpacked(*packed, word->size()) == *word);
+  CHECK(compressor.compress(word) == packed);
+  CHECK(decompress(*packed, word->size()) == *word);
   // More bytes than were said, fewer, and others than were sent.
-  CHECK_FALSE(unpacked(*packed, word->size() - 1));
-  CHECK_FALSE(unpacked(*packed, word->size() + 1));
+  CHECK_FALSE(decompress(*packed, word->size() - 1));
+  CHECK_FALSE(decompress(*packed, word->size() + 1));
   std::string spoilt = *packed;
   spoilt[spoilt.size() / 2] = static_cast<char>(spoilt[spoilt.size() / 2] ^ 4);
-  CHECK_FALSE(unpacked(spoilt, word->size()));
-  CHECK_FALSE(unpacked(std::string_view(*packed).substr(0, packed->size() / 2), word->size()));
+  CHECK_FALSE(decompress(spoilt, word->size()));
+  CHECK_FALSE(decompress(std::string_view(*packed).substr(0, packed->size() / 2), word->size()));
 }
 
 TEST_CASE("a large configuration goes out in parts, and is no copy nor in force before its last") {
@@ -526,12 +527,12 @@
   const auto texts = itemsReplies(head, list);
   REQUIRE(texts.size() > 1);
   REQUIRE(itemsReplies(head, {}).size() == 1);
-  Sidecar::Built built;
+  Sidecar::Config built;
   built.controlClient = {{"s"}, {"s:1"}, "z", {1}, {{"v0"}}};
   Sidecar here(built);
-  here.reached(0s, {"v0"});
-  here.heard(0s, {"v0"}, json::parse(encode(welcomeOf({"v0"}))));
-  here.heard(0s, {"v0"}, json::parse(encode(settledHeartbeat(items.digest()))));
+  here.sessionOpened(0s, {"v0"});
+  here.handleMessage(0s, {"v0"}, json::parse(encode(welcomeOf({"v0"}))));
+  here.handleMessage(0s, {"v0"}, json::parse(encode(settledHeartbeat(items.digest()))));
   Items copy;
   for (std::size_t i = 0; i < texts.size(); ++i) {
     const json text = json::parse(*texts[i]);
@@ -541,7 +542,7 @@
     CHECK(reply.last() == (i + 1 == texts.size()));
     for (const Item& item : reply.items) copy.merge(item);
     CHECK_FALSE(here.serving(0s));
-    here.heard(0s, {"v0"}, text);
+    here.handleMessage(0s, {"v0"}, text);
   }
   CHECK(copy.digest() == items.digest());
   // All is there, but not all has been read as routes.
@@ -569,7 +570,7 @@
   const AdmissionActions replaced = here.beat(2s, beat("i2", 1));
   REQUIRE(countOf(replaced, AdmissionAction::Kind::tell) == 2);
   CHECK(replaced[0].served.replaced);
-  CHECK(here.asked(2s, {2}, ask(RouteKind::pure), std::nullopt).back().told.verdict == Verdict::leaving);
+  CHECK(here.asked(2s, {2}, ask(RouteKind::pure), std::nullopt).back().told.verdict == Verdict::draining);
   CHECK(here.adopt(3s, served("i3")).empty());
 
   // Not one that leaves, not another's; of two, the one told of last; and 421 is word of its end.
@@ -597,10 +598,10 @@
   Items items;
   items.merge(route("look", 4));
   const auto tell = [&](Span now, const char* at, const Message& message) {
-    client.heard(now, {at}, json::parse(encode(message)));
+    client.handleMessage(now, {at}, json::parse(encode(message)));
   };
   for (const char* at : {"v0", "v1"}) {
-    client.reached(0s, {at});
+    client.sessionOpened(0s, {at});
     tell(0s, at, welcomeOf({at}));
   }
   tell(0s, "v1", settledHeartbeat(items.digest()));
@@ -677,12 +678,12 @@
 TEST_CASE("each call stands in the one table") {
   bool known = false;
   const auto beat =
-      findCall(CallSocket::control, CallBy::auxiliary, "PUT", "/rackroute/instances/i-1", known);
+      findApiEndpoint(ApiListener::control, MachineRole::auxiliary, "PUT", "/rackroute/instances/i-1", known);
   REQUIRE(beat);
   CHECK(beat->name == "i-1");
-  CHECK_FALSE(findCall(CallSocket::control, CallBy::core, "DELETE", "/rackroute/config", known));
+  CHECK_FALSE(findApiEndpoint(ApiListener::control, MachineRole::core, "DELETE", "/rackroute/config", known));
   CHECK(known);
-  CHECK_FALSE(findCall(CallSocket::control, CallBy::core, "GET", "/rackroute/configs", known));
+  CHECK_FALSE(findApiEndpoint(ApiListener::control, MachineRole::core, "GET", "/rackroute/configs", known));
   CHECK_FALSE(known);
 }
 
