--- a/src/mesh/forwarding/forwarding.hpp
+++ b/src/mesh/forwarding/forwarding.hpp
@@ -23,8 +23,8 @@
 inline constexpr std::string_view kOperationKeyHeader = "Rackroute-Operation-Key";
 inline constexpr std::string_view kNotRunHeader = "Rackroute-Not-Run";
 
-using InboundRequestId =
-    Id<struct InboundRequestTag, std::uint64_t>;  // a forward received from another process
+/// A forward received from another process.
+using InboundRequestId = Id<struct InboundRequestTag, std::uint64_t>;
 
 /// Mesh-wide unique ID of one forward of a request that may be executed at most once.
 struct ForwardId {
--- a/src/mesh/sidecar/control_client.cpp
+++ b/src/mesh/sidecar/control_client.cpp
@@ -157,7 +157,7 @@
 ControlClientActions ControlClient::sendToVoters(const Message& message) const {
   const auto text = std::make_shared<const std::string>(encode(message));
   ControlClientActions actions;
-  for (const VoterId& voter : reachedVoters()) actions.push_back(sendAction(voter.at, text));
+  for (const VoterId& voter : connectedVoters()) actions.push_back(sendAction(voter.at, text));
   return actions;
 }
 
@@ -319,7 +319,7 @@
   return voter;
 }
 
-std::vector<VoterId> ControlClient::reachedVoters() const {
+std::vector<VoterId> ControlClient::connectedVoters() const {
   std::vector<VoterId> connected;
   for (const Entry& control : controls_) {
     if (const VoterId* voter = voterAt(control)) connected.push_back(*voter);
--- a/src/mesh/sidecar/control_client.hpp
+++ b/src/mesh/sidecar/control_client.hpp
@@ -88,7 +88,7 @@
   /// The newest known voter set; empty with epoch 0 until one is received.
   [[nodiscard]] const VoterSet& voters() const { return voters_; }
   /// Voters of the set in force that have an open session and the identity listed in the set.
-  [[nodiscard]] std::vector<VoterId> reachedVoters() const;
+  [[nodiscard]] std::vector<VoterId> connectedVoters() const;
   /// Whether requests may be served with the current configuration. Requires a completely received
   /// configuration, and either (a) a confirmation by a settled control process, since this process started,
   /// that a majority knows nothing newer; or (b) a reply from a control process that holds state, while no
--- a/src/mesh/sidecar/request_messages.cpp
+++ b/src/mesh/sidecar/request_messages.cpp
@@ -95,46 +95,46 @@
   return std::string(kForwardHeader) + ": " + textOf(reply) + "\r\nConnection: rackroute-forward\r\n";
 }
 
-ForwardEnd forwardEnd(RequestOutcome outcome, const http::Message* response) {
-  ForwardEnd end;
-  end.result = resultOf(outcome);
-  if (response == nullptr) return end;
-  end.status = response->status();
+ForwardCompletion forwardCompletion(RequestOutcome outcome, const http::Message* response) {
+  ForwardCompletion completion;
+  completion.result = resultOf(outcome);
+  if (response == nullptr) return completion;
+  completion.status = response->status();
   const auto field = response->field(kForwardHeader);
   const auto reply = field ? parseForwardReply(*field) : std::nullopt;
   if (reply) {
-    end.reply = *reply;
+    completion.reply = *reply;
   } else {
-    end.result = isRejection(end.status) ? ForwardResult::notSent : ForwardResult::broken;
+    completion.result = isRejection(completion.status) ? ForwardResult::notSent : ForwardResult::broken;
   }
-  return end;
+  return completion;
 }
 
-ServerEnd serverEnd(RequestOutcome outcome, const RequestRef& response) {
-  ServerEnd end;
+ServerCompletion serverCompletion(RequestOutcome outcome, const RequestRef& response) {
+  ServerCompletion completion;
   switch (outcome) {
     case RequestOutcome::completed:
-      end.how = AtServer::answered;
-      end.answer.status = response->status();
-      end.answer.notRun =
+      completion.result = AtServer::answered;
+      completion.answer.status = response->status();
+      completion.answer.notRun =
           response->field(kNotRunHeader).has_value() || response->status() == kMisdirectedRequest;
-      end.answer.bytes = response;
-      end.answer.size = response->body().size() + kHeadBytes;
+      completion.answer.bytes = response;
+      completion.answer.size = response->body().size() + kHeadBytes;
       break;
     case RequestOutcome::notSent:
-      end.how = AtServer::notSent;
+      completion.result = AtServer::notSent;
       break;
     case RequestOutcome::timedOut:
-      end.how = AtServer::timedOut;
+      completion.result = AtServer::timedOut;
       break;
     case RequestOutcome::malformedResponse:
-      end.how = AtServer::spoilt;
+      completion.result = AtServer::spoilt;
       break;
     case RequestOutcome::partiallySent:  // a server may start before it has received the whole body
     case RequestOutcome::connectionLost:
       break;
   }
-  return end;
+  return completion;
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/request_messages.hpp
+++ b/src/mesh/sidecar/request_messages.hpp
@@ -29,18 +29,18 @@
 std::string replyFields(const ForwardReply& reply);
 
 /// The result of a forward. `reply` and `status` are set if the other sidecar responded.
-struct ForwardEnd {
+struct ForwardCompletion {
   ForwardResult result = ForwardResult::broken;
   ForwardReply reply;
   std::uint32_t status = 0;
 };
-ForwardEnd forwardEnd(RequestOutcome outcome, const http::Message* response);
+ForwardCompletion forwardCompletion(RequestOutcome outcome, const http::Message* response);
 
 /// The result of a request to the local server.
-struct ServerEnd {
-  AtServer how = AtServer::broken;
+struct ServerCompletion {
+  AtServer result = AtServer::broken;
   ServerAnswer answer;
 };
-ServerEnd serverEnd(RequestOutcome outcome, const RequestRef& response);
+ServerCompletion serverCompletion(RequestOutcome outcome, const RequestRef& response);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/server_heartbeat.cpp
+++ b/src/mesh/sidecar/server_heartbeat.cpp
@@ -8,24 +8,24 @@
 
 Result<Beat> parseServerHeartbeat(std::string_view id, std::string_view body) {
   const nlohmann::json text = nlohmann::json::parse(body, nullptr, false);
-  Beat beat;
-  beat.id = {std::string(id)};
+  Beat heartbeat;
+  heartbeat.id = {std::string(id)};
   try {
     const nlohmann::json& details = text.at("details");
     const nlohmann::json& observed = text.at("observed");
-    beat.address = {text.at("address").get<std::string>()};
-    beat.service = {details.at("target").get<std::string>()};
-    beat.zone = details.value("zone", std::string());
-    beat.capacity = details.value("capacity", 1U);
-    beat.draining = observed.at("phase") == "draining";
-    beat.seq = observed.at("call_seq").get<std::uint64_t>();
-    beat.coldLeft = readSpan(observed.value("cold_left", std::string("0ms"))).value_or(Span{0});
+    heartbeat.address = {text.at("address").get<std::string>()};
+    heartbeat.service = {details.at("target").get<std::string>()};
+    heartbeat.zone = details.value("zone", std::string());
+    heartbeat.capacity = details.value("capacity", 1U);
+    heartbeat.draining = observed.at("phase") == "draining";
+    heartbeat.seq = observed.at("call_seq").get<std::uint64_t>();
+    heartbeat.coldLeft = readSpan(observed.value("cold_left", std::string("0ms"))).value_or(Span{0});
   } catch (const nlohmann::json::exception& error) {
     Error invalid = failure("beat", error.what());
     invalid.peer = std::string(id);
     return invalid;
   }
-  return beat;
+  return heartbeat;
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/sidecar.cpp
+++ b/src/mesh/sidecar/sidecar.cpp
@@ -114,7 +114,7 @@
         break;
       case ControlClientAction::Kind::votersChanged:
         claims.electorate(controlClient_.voters());
-        for (const VoterId& voter : controlClient_.reachedVoters()) requestVotes(voter, out);
+        for (const VoterId& voter : controlClient_.connectedVoters()) requestVotes(voter, out);
         break;
       case ControlClientAction::Kind::voterReady:
         requestVotes(action.voter, out);
@@ -135,7 +135,7 @@
         break;
     }
   }
-  claims.reach(controlClient_.reachedVoters().size());
+  claims.reach(controlClient_.connectedVoters().size());
 }
 
 void Sidecar::sendServers(const Address& control, SidecarActions& out) {
@@ -165,30 +165,30 @@
   handle(now, controlClient_.follow(router_.routes().services()), out);
 }
 
-SidecarActions Sidecar::requestReceived(Span now, CallNo no, const Asked& request) {
+SidecarActions Sidecar::requestReceived(Span now, CallNo call, const Asked& request) {
   SidecarActions out;
-  out.routing = router_.asked(now, no, request);
+  out.routing = router_.asked(now, call, request);
   return out;
 }
 
-SidecarActions Sidecar::forwardCompleted(Span now, CallNo no, TryNo sent, ForwardResult how,
+SidecarActions Sidecar::forwardCompleted(Span now, CallNo call, TryNo attempt, ForwardResult result,
                                          const ForwardReply& reply, std::uint32_t status,
                                          std::shared_ptr<const void> bytes) {
   SidecarActions out;
-  out.routing = router_.forwarded(now, no, sent, how, reply, status, std::move(bytes));
+  out.routing = router_.forwarded(now, call, attempt, result, reply, status, std::move(bytes));
   return out;
 }
 
-SidecarActions Sidecar::forwardReceived(Span now, InboundRequestId no, const ForwardRequest& request,
+SidecarActions Sidecar::forwardReceived(Span now, InboundRequestId id, const ForwardRequest& request,
                                         const std::optional<std::string>& key) {
   SidecarActions out;
-  ForwardOutcomes::Arrival arrival = outcomes_.receive(now, no, request);
+  ForwardOutcomes::Arrival arrival = outcomes_.receive(now, id, request);
   switch (arrival.kind) {
     case ForwardOutcomes::Arrival::Kind::admit:
-      handle(now, admission_.asked(now, no, request, key), out);
+      handle(now, admission_.asked(now, id, request, key), out);
       break;
     case ForwardOutcomes::Arrival::Kind::respond: {
-      AdmissionAction action{AdmissionAction::Kind::answer, no};
+      AdmissionAction action{AdmissionAction::Kind::answer, id};
       action.told = std::move(arrival.reply);
       action.bytes = std::move(arrival.bytes);
       out.admission.push_back(std::move(action));
@@ -200,33 +200,33 @@
   return out;
 }
 
-SidecarActions Sidecar::executionEnded(Span now, InboundRequestId no, AtServer how,
+SidecarActions Sidecar::executionEnded(Span now, InboundRequestId id, AtServer result,
                                        const ServerAnswer& answer) {
   SidecarActions out;
-  handle(now, admission_.ran(now, no, how, answer), out);
+  handle(now, admission_.ran(now, id, result, answer), out);
   return out;
 }
 
-SidecarActions Sidecar::requestAbandoned(Span now, CallNo no) {
+SidecarActions Sidecar::requestAbandoned(Span now, CallNo call) {
   SidecarActions out;
-  out.routing = router_.abandoned(now, no);
+  out.routing = router_.abandoned(now, call);
   return out;
 }
 
-SidecarActions Sidecar::forwardAbandoned(Span now, InboundRequestId no) {
+SidecarActions Sidecar::forwardAbandoned(Span now, InboundRequestId id) {
   SidecarActions out;
-  handle(now, admission_.abandoned(now, no), out);
+  handle(now, admission_.abandoned(now, id), out);
   return out;
 }
 
-SidecarActions Sidecar::serverCalled(Span now, ServerCallNo call, const Beat& beat) {
+SidecarActions Sidecar::serverCalled(Span now, ServerCallNo call, const Beat& heartbeat) {
   SidecarActions out;
-  handle(now, admission_.beat(now, beat), out);
-  const bool departs = beat.draining || beat.gone;
-  if (!departs || departures_.isRecorded(beat.id, beat.gone)) {
+  handle(now, admission_.beat(now, heartbeat), out);
+  const bool departs = heartbeat.draining || heartbeat.gone;
+  if (!departs || departures_.isRecorded(heartbeat.id, heartbeat.gone)) {
     out.answers.push_back({call, true});
   } else {
-    requestRecord(departures_.addCall(now, call, beat.id, beat.gone), beat.id, out);
+    requestRecord(departures_.addCall(now, call, heartbeat.id, heartbeat.gone), heartbeat.id, out);
   }
   return out;
 }
--- a/src/mesh/sidecar/sidecar.hpp
+++ b/src/mesh/sidecar/sidecar.hpp
@@ -42,19 +42,19 @@
   };
   explicit Sidecar(Config config);
 
-  SidecarActions requestReceived(Span now, CallNo no, const Asked& request);
-  SidecarActions forwardCompleted(Span now, CallNo no, TryNo sent, ForwardResult how,
+  SidecarActions requestReceived(Span now, CallNo call, const Asked& request);
+  SidecarActions forwardCompleted(Span now, CallNo call, TryNo attempt, ForwardResult result,
                                   const ForwardReply& reply, std::uint32_t status,
                                   std::shared_ptr<const void> bytes);
-  SidecarActions forwardReceived(Span now, InboundRequestId no, const ForwardRequest& request,
+  SidecarActions forwardReceived(Span now, InboundRequestId id, const ForwardRequest& request,
                                  const std::optional<std::string>& key);
-  SidecarActions executionEnded(Span now, InboundRequestId no, AtServer how, const ServerAnswer& respond);
+  SidecarActions executionEnded(Span now, InboundRequestId id, AtServer result, const ServerAnswer& answer);
   /// The client of a local request has closed its connection.
-  SidecarActions requestAbandoned(Span now, CallNo no);
+  SidecarActions requestAbandoned(Span now, CallNo call);
   /// The connection of a forward received from another process was closed before its response.
-  SidecarActions forwardAbandoned(Span now, InboundRequestId no);
+  SidecarActions forwardAbandoned(Span now, InboundRequestId id);
   /// The local server reported its state. Answered at once, or for a departure once that is recorded.
-  SidecarActions serverCalled(Span now, ServerCallNo call, const Beat& beat);
+  SidecarActions serverCalled(Span now, ServerCallNo call, const Beat& heartbeat);
   SidecarActions sessionOpened(Span now, const Address& control);
   SidecarActions sessionClosed(Span now, const Address& control);
   /// Handles one message of a control process; see ControlClient::handleMessage.
--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -138,20 +138,20 @@
       const Span retryAfter = std::max(Span{0}, deadline_.exitAt() - loop_.now()) + kRestartTime;
       return connection->respond(503, "Retry-After: " + writeSeconds(retryAfter) + "\r\n", "");
     }
-    const CallNo no{++lastCall_};
+    const CallNo call{++lastCall_};
     Asked summary;
     summary.host = request->field("Host").value_or("");
     summary.path = request->word(1);
     summary.patience = clientTimeout(*request);
-    calls_[no] = {connection, request};
-    execute(sidecar_.requestReceived(loop_.now(), no, summary));
+    calls_[call] = {connection, request};
+    execute(sidecar_.requestReceived(loop_.now(), call, summary));
   }
 
   void clientDisconnected(const HttpServerConnection& connection) {
-    for (auto& [no, open] : calls_) {
+    for (auto& [call, open] : calls_) {
       if (open.connection.get() != &connection) continue;
       open.connection.reset();  // a request that continues has no receiver for its response
-      loop_.soon([this, call = no] { abandonRequest(call); });
+      loop_.soon([this, call = call] { abandonRequest(call); });
     }
   }
 
@@ -163,9 +163,9 @@
   }
 
   void forwardDisconnected(const HttpServerConnection& connection) {
-    for (const auto& [no, open] : inbound_) {
+    for (const auto& [id, open] : inbound_) {
       if (open.connection.get() != &connection) continue;
-      loop_.soon([this, id = no] { execute(sidecar_.forwardAbandoned(loop_.now(), id)); });
+      loop_.soon([this, id = id] { execute(sidecar_.forwardAbandoned(loop_.now(), id)); });
     }
   }
 
@@ -175,38 +175,38 @@
     const auto field = request->field(kForwardHeader);
     const auto forward = field ? parseForwardRequest(*field) : std::nullopt;
     if (!forward) return connection->respond(400, "", "");
-    const InboundRequestId no{++lastInbound_};
-    inbound_[no] = {connection, request};
+    const InboundRequestId id{++lastInbound_};
+    inbound_[id] = {connection, request};
     std::optional<std::string> key;
     if (forward->kind == RouteKind::keyed) {
       if (const auto value = request->field(kOperationKeyHeader)) key = std::string(*value);
     }
-    execute(sidecar_.forwardReceived(loop_.now(), no, *forward, key));
+    execute(sidecar_.forwardReceived(loop_.now(), id, *forward, key));
   }
 
-  void apiCalled(ApiListener socket, const std::shared_ptr<HttpServerConnection>& connection,
+  void apiCalled(ApiListener listener, const std::shared_ptr<HttpServerConnection>& connection,
                  const http::Message& request) {
     bool known = false;
-    const auto call =
-        findApiEndpoint(socket, MachineRole::auxiliary, request.word(0), request.word(1), known);
-    if (!call) return connection->respond(known ? 405 : 404, "", "");
-    if (call->endpoint->kind == ApiCall::readiness)
+    const auto match =
+        findApiEndpoint(listener, MachineRole::auxiliary, request.word(0), request.word(1), known);
+    if (!match) return connection->respond(known ? 405 : 404, "", "");
+    if (match->endpoint->kind == ApiCall::readiness)
       return connection->respond(sidecar_.ready(loop_.now()) ? 200 : 503, "", "");
-    Beat beat;
-    if (call->endpoint->kind == ApiCall::serverDeregistration) {
-      beat.id = {std::string(call->name)};
-      beat.gone = true;
+    Beat heartbeat;
+    if (match->endpoint->kind == ApiCall::serverDeregistration) {
+      heartbeat.id = {std::string(match->name)};
+      heartbeat.gone = true;
     } else {
-      Result<Beat> read = parseServerHeartbeat(call->name, request.body());
+      Result<Beat> read = parseServerHeartbeat(match->name, request.body());
       if (!read) {
         log(LogLevel::warning, read.error().step, read.error().peer, read.error().what);
         return connection->respond(400, "", "");
       }
-      beat = std::move(read).value();
+      heartbeat = std::move(read).value();
     }
-    const ServerCallNo no{++lastServerCall_};
-    serverCalls_[no] = connection;
-    execute(sidecar_.serverCalled(loop_.now(), no, beat));
+    const ServerCallNo serverCall{++lastServerCall_};
+    serverCalls_[serverCall] = connection;
+    execute(sidecar_.serverCalled(loop_.now(), serverCall, heartbeat));
   }
 
   void respond(const ServerCallAnswer& answer) {
@@ -272,18 +272,18 @@
     forwards_[action.sent] = forwardClient_.send(
         action.at, forwardMessage(open.request, action.ask), {}, open.request->word(0) == "HEAD",
         now + action.ask.left + kServerMargin + kForwardMargin,
-        [this, call = action.call, sent = action.sent](RequestOutcome outcome, RequestRef response) {
-          forwardCompleted(call, sent, outcome, std::move(response));
+        [this, call = action.call, attempt = action.sent](RequestOutcome outcome, RequestRef response) {
+          forwardCompleted(call, attempt, outcome, std::move(response));
         },
         now + action.ask.left - kSendMargin);
   }
 
-  void forwardCompleted(CallNo call, TryNo sent, RequestOutcome outcome, RequestRef response) {
-    forwards_.erase(sent);
-    const ForwardEnd end = forwardEnd(outcome, response.get());
-    sentCounts_.count(end.reply.verdict);
-    execute(sidecar_.forwardCompleted(loop_.now(), call, sent, end.result, end.reply, end.status,
-                                      std::move(response)));
+  void forwardCompleted(CallNo call, TryNo attempt, RequestOutcome outcome, RequestRef response) {
+    forwards_.erase(attempt);
+    const ForwardCompletion completion = forwardCompletion(outcome, response.get());
+    sentCounts_.count(completion.reply.verdict);
+    execute(sidecar_.forwardCompleted(loop_.now(), call, attempt, completion.result, completion.reply,
+                                      completion.status, std::move(response)));
   }
 
   void execute(AdmissionAction& action) {
@@ -297,8 +297,8 @@
     receivedCounts_.count(action.told.verdict);
     if (!action.bytes) return open.connection->respond(503, reply, "");
     std::string fields;
-    if (const auto attempt = open.request->field(kAttemptIdHeader))
-      fields = "Rackroute-Attempt-Id: " + std::string(*attempt) + "\r\n";
+    if (const auto attemptId = open.request->field(kAttemptIdHeader))
+      fields = "Rackroute-Attempt-Id: " + std::string(*attemptId) + "\r\n";
     open.connection->relay(std::static_pointer_cast<const http::Message>(action.bytes), fields + reply,
                            kAttemptIdHeader);
   }
@@ -311,15 +311,15 @@
   }
 
   void runOnServer(const OpenRequest& open, const AdmissionAction& action) {
-    const std::string attempt(open.request->field(kAttemptIdHeader).value_or(""));
+    const std::string attemptId(open.request->field(kAttemptIdHeader).value_or(""));
     const Span now = loop_.now();
     executions_[action.ask] = serverClient_.send(
-        action.server, serverMessage(open.request, action), attempt, open.request->word(0) == "HEAD",
+        action.server, serverMessage(open.request, action), attemptId, open.request->word(0) == "HEAD",
         now + action.left + kServerMargin,
         [this, id = action.ask](RequestOutcome outcome, const RequestRef& response) {
           executions_.erase(id);
-          const ServerEnd end = serverEnd(outcome, response);
-          this->execute(sidecar_.executionEnded(loop_.now(), id, end.how, end.answer));
+          const ServerCompletion completion = serverCompletion(outcome, response);
+          this->execute(sidecar_.executionEnded(loop_.now(), id, completion.result, completion.answer));
         },
         now + action.left - kSendMargin);
   }
@@ -400,8 +400,8 @@
   std::map<CallNo, OpenRequest> calls_;
   std::map<InboundRequestId, OpenRequest> inbound_;
   std::map<ServerCallNo, std::shared_ptr<HttpServerConnection>> serverCalls_;  // not answered yet
-  std::map<TryNo, HttpClient::InFlight> forwards_;                             // to other sidecars
-  std::map<InboundRequestId, HttpClient::InFlight> executions_;                // at the local server
+  std::map<TryNo, HttpClient::RequestHandle> forwards_;                        // to other sidecars
+  std::map<InboundRequestId, HttpClient::RequestHandle> executions_;           // at the local server
   sidecar::Loop::TimerId tickTimer_;
   Span nextTickAt_{};
   bool tickScheduled_ = false;
--- a/src/mesh/transport/http_client.cpp
+++ b/src/mesh/transport/http_client.cpp
@@ -211,12 +211,12 @@
 
 HttpClient::~HttpClient() = default;
 
-void HttpClient::InFlight::cancel() {
+void HttpClient::RequestHandle::cancel() {
   if (const auto connection = connection_.lock()) connection->cancel(number_);
 }
 
-HttpClient::InFlight HttpClient::send(const Address& to, http::Gather request, std::string attempt,
-                                      bool isHead, Span deadline, Callback done, Span sendBy) {
+HttpClient::RequestHandle HttpClient::send(const Address& to, http::Gather request, std::string attempt,
+                                           bool isHead, Span deadline, Callback done, Span sendBy) {
   const std::uint64_t number = ++lastNumber_;
   for (;;) {
     const auto idle = idle_.find(to);
--- a/src/mesh/transport/http_client.hpp
+++ b/src/mesh/transport/http_client.hpp
@@ -43,16 +43,16 @@
   using Callback = std::function<void(RequestOutcome, std::shared_ptr<const http::Message>)>;
 
   /// A handle to cancel a request. May outlive the request, but not the client.
-  class InFlight {
+  class RequestHandle {
    public:
-    InFlight() = default;
+    RequestHandle() = default;
     /// Closes the connection of the request, so that the peer notices. The callback is not called. Does
     /// nothing if the request has ended.
     void cancel();
 
    private:
     friend class HttpClient;
-    InFlight(std::weak_ptr<ClientConnection> connection, std::uint64_t number)
+    RequestHandle(std::weak_ptr<ClientConnection> connection, std::uint64_t number)
         : connection_(std::move(connection)), number_(number) {}
 
     std::weak_ptr<ClientConnection> connection_;
@@ -68,8 +68,8 @@
   /// when to give up waiting for the response. sendBy: latest time to establish a connection, or the request
   /// is not sent. done is called exactly once, in a later turn of the event loop, unless the request is
   /// cancelled.
-  InFlight send(const Address& to, http::Gather request, std::string attempt, bool isHead, Span deadline,
-                Callback done, Span sendBy = Span::max());
+  RequestHandle send(const Address& to, http::Gather request, std::string attempt, bool isHead, Span deadline,
+                     Callback done, Span sendBy = Span::max());
   [[nodiscard]] std::size_t dialCount() const { return dialCount_; }
 
  private:
--- a/tests/forwarding_test.cpp
+++ b/tests/forwarding_test.cpp
@@ -269,7 +269,7 @@
     std::size_t caller = 0;
     std::uint64_t callerLife = 0;
     CallNo call;
-    TryNo sent;
+    TryNo attemptNo;
     std::size_t to = 0;
     ForwardRequest request;
     std::uint64_t attempt = 0;
@@ -345,13 +345,13 @@
                                                                      1 << 20});
     sidecar.outcomes = std::make_unique<ForwardOutcomes>(sidecar.life, ForwardOutcomes::Limits{});
     setVoters(*sidecar.admission);
-    Beat beat;
-    beat.id = {instance(i)};
-    beat.service = {"desk"};
-    beat.address = {"app"};
-    beat.capacity = 3;
-    beat.seq = 1;
-    execute(i, sidecar.admission->beat(now_, beat));
+    Beat heartbeat;
+    heartbeat.id = {instance(i)};
+    heartbeat.service = {"desk"};
+    heartbeat.address = {"app"};
+    heartbeat.capacity = 3;
+    heartbeat.seq = 1;
+    execute(i, sidecar.admission->beat(now_, heartbeat));
     // Each caller learns of the new process at a different time.
     for (std::size_t c = 0; c < kCallers; ++c) {
       in(randomSpan(1ms, 400ms), [this, c, state = serverState(i)] {
@@ -516,12 +516,12 @@
     forward->caller = i;
     forward->callerLife = callers_[i].life;
     forward->call = action.call;
-    forward->sent = action.sent;
+    forward->attemptNo = action.sent;
     forward->to = static_cast<std::size_t>(std::stoul(action.at.value.substr(2)));
     forward->request = action.ask;
     forward->attempt = open.attempt;
     forward->key = open.operation.key;
-    forwards_[{forward->callerLife, forward->sent}] = forward;
+    forwards_[{forward->callerLife, forward->attemptNo}] = forward;
     const std::uint64_t life = serverSidecars_[forward->to].life.value;
     if (withProbability(0.02))
       return in(networkDelay(), [this, forward] { deliverResult(forward, ForwardResult::notSent); });
@@ -596,14 +596,15 @@
   }
 
   /// Delivers the result of a forward to the caller. Only the first one counts, as it closes the connection.
-  void deliverResult(const ForwardRef& forward, ForwardResult how, const ForwardReply& reply = {},
+  void deliverResult(const ForwardRef& forward, ForwardResult result, const ForwardReply& reply = {},
                      const std::shared_ptr<const void>& bytes = nullptr) {
     if (forward->ended) return;
     forward->ended = true;
     Caller& caller = callers_[forward->caller];
-    runWhenActive(caller, forward->callerLife, [this, forward, how, reply, bytes] {
-      execute(forward->caller, callers_[forward->caller].router->forwarded(
-                                   now_, forward->call, forward->sent, how, reply, bytes ? 200 : 0, bytes));
+    runWhenActive(caller, forward->callerLife, [this, forward, result, reply, bytes] {
+      execute(forward->caller,
+              callers_[forward->caller].router->forwarded(now_, forward->call, forward->attemptNo, result,
+                                                          reply, bytes ? 200 : 0, bytes));
     });
   }
 
@@ -676,10 +677,11 @@
 
   void executeOnServer(std::size_t i, std::uint64_t life, const AdmissionAction& action) {
     const ForwardRef forward = inbound_.at({i, life, action.ask});
-    const auto done = [this, i, life, id = action.ask](Span wait, AtServer how, const ServerAnswer& answer) {
-      in(wait, [this, i, life, id, how, answer] {
-        runWhenActive(serverSidecars_[i], life, [this, i, id, how, answer] {
-          execute(i, serverSidecars_[i].admission->ran(now_, id, how, answer));
+    const auto done = [this, i, life, id = action.ask](Span wait, AtServer result,
+                                                       const ServerAnswer& answer) {
+      in(wait, [this, i, life, id, result, answer] {
+        runWhenActive(serverSidecars_[i], life, [this, i, id, result, answer] {
+          execute(i, serverSidecars_[i].admission->ran(now_, id, result, answer));
         });
       });
     };
--- a/tests/sidecar_control_client_test.cpp
+++ b/tests/sidecar_control_client_test.cpp
@@ -116,13 +116,13 @@
 }
 
 Beat makeServerHeartbeat(const std::string& id) {
-  Beat beat;
-  beat.id = {id};
-  beat.service = {"desk"};
-  beat.address = {"app"};
-  beat.capacity = 4;
-  beat.seq = 1;
-  return beat;
+  Beat heartbeat;
+  heartbeat.id = {id};
+  heartbeat.service = {"desk"};
+  heartbeat.address = {"app"};
+  heartbeat.capacity = 4;
+  heartbeat.seq = 1;
+  return heartbeat;
 }
 
 }  // namespace
@@ -250,9 +250,9 @@
   CHECK(client.voters().epoch == Epoch{4});
   CHECK(client.items().find(item.key) != nullptr);
   // A process with another incarnation, as after losing its disk, does not count as the voter.
-  CHECK(client.reachedVoters() == std::vector<VoterId>{voterAt({"v0"})});
+  CHECK(client.connectedVoters() == std::vector<VoterId>{voterAt({"v0"})});
   deliverTo(client, 0s, {"v0"}, makeWelcome(voterAt({"v0"}, 2), makeVoterSet(4)));
-  CHECK(client.reachedVoters().empty());
+  CHECK(client.connectedVoters().empty());
 }
 
 TEST_CASE("200 replaced control processes do not fill the address table, and each new one is dialled") {
