--- a/src/lab/mesh/emulated.hpp
+++ b/src/lab/mesh/emulated.hpp
@@ -237,7 +237,7 @@
   void beat(std::size_t machine, std::uint64_t serverLife);
   void call(std::size_t machine, std::uint64_t serverLife, const Beat& told);
   void callLate(std::size_t machine, std::uint64_t serverLife, const Beat& told);
-  void answered(std::size_t machine, const ServerCallAnswer& answer);
+  void answered(std::size_t machine, const ServerCallResponse& answer);
   void beginsToLeave(std::size_t machine, std::uint64_t serverLife);
   void ends(std::size_t machine, std::uint64_t serverLife);
   void newServer(std::size_t machine);
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -37,7 +37,7 @@
 
 void ProcessServers::open(std::uint32_t machine) {
   Server& server = servers_[machine];
-  server.shared = std::make_shared<HttpServerConnection::Shared>();
+  server.shared = std::make_shared<HttpServerConnection::ListenerContext>();
   server.shared->onAbandoned = [](HttpServerConnection&) {};
   server.shared->onRequest = [this, machine](const ConnectionRef& connection,
                                              const std::shared_ptr<const http::Message>& request) {
--- a/src/lab/mesh/process_servers.hpp
+++ b/src/lab/mesh/process_servers.hpp
@@ -58,7 +58,7 @@
     double slow = 1, loses = 0, spoils = 0;
     std::uint32_t keyed = 0;
     std::deque<std::function<void()>> queue;
-    std::shared_ptr<rackroute::mesh::HttpServerConnection::Shared> shared;
+    std::shared_ptr<rackroute::mesh::HttpServerConnection::ListenerContext> shared;
     std::unique_ptr<rackroute::mesh::Listener> listener;
   };
   struct Work {
--- a/src/lab/mesh/world_processes.cpp
+++ b/src/lab/mesh/world_processes.cpp
@@ -165,7 +165,7 @@
 }
 
 void World::act(std::size_t machine, const SidecarActions& acts) {
-  for (const ServerCallAnswer& answer : acts.answers) answered(machine, answer);
+  for (const ServerCallResponse& answer : acts.callResponses) answered(machine, answer);
   Side& here = side(machine);
   for (const RoutingAction& act : acts.routing) {
     const auto found = here.attemptOf.find(act.call.value);
--- a/src/lab/mesh/world_servers.cpp
+++ b/src/lab/mesh/world_servers.cpp
@@ -56,7 +56,7 @@
   act(machine, here.sidecar->serverCalled(now_, no, told));
 }
 
-void World::answered(std::size_t machine, const ServerCallAnswer& answer) {
+void World::answered(std::size_t machine, const ServerCallResponse& answer) {
   Side& here = side(machine);
   const auto found = here.serverCalls.find(answer.call);
   if (found == here.serverCalls.end()) return;
--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -106,7 +106,7 @@
   }
 
   void listenToOperators(const Address& at) {
-    shared_ = std::make_shared<HttpServerConnection::Shared>();
+    shared_ = std::make_shared<HttpServerConnection::ListenerContext>();
     for (const ApiEndpoint& row : kApiEndpoints) {
       if (row.role == MachineRole::core)
         shared_->maxBodyBytes = std::max(shared_->maxBodyBytes, row.maxBodyBytes);
@@ -248,7 +248,7 @@
   std::optional<ControlNode> node_;
   std::optional<Listener> sessionConnections_;
   std::optional<Listener> operators_;
-  std::shared_ptr<HttpServerConnection::Shared> shared_;
+  std::shared_ptr<HttpServerConnection::ListenerContext> shared_;
   std::map<SessionNo, std::shared_ptr<SessionConnection>> sessions_;
   std::map<OperatorCallNo, std::shared_ptr<HttpServerConnection>> calls_;
   json loggedStanding_;  // as the log has it last
--- a/src/mesh/sidecar/sidecar.cpp
+++ b/src/mesh/sidecar/sidecar.cpp
@@ -102,7 +102,7 @@
       case ControlClientAction::Kind::recorded: {
         const std::size_t needed = std::clamp<std::size_t>(controlClient_.openSessions(), 1, kRecordReplicas);
         for (const ServerCallNo call : departures_.recorded(action.at, action.record, needed))
-          out.answers.push_back({call, true});
+          out.callResponses.push_back({call, true});
         break;
       }
       case ControlClientAction::Kind::itemsChanged:
@@ -224,7 +224,7 @@
   handle(now, admission_.beat(now, heartbeat), out);
   const bool departs = heartbeat.draining || heartbeat.gone;
   if (!departs || departures_.isRecorded(heartbeat.id, heartbeat.gone)) {
-    out.answers.push_back({call, true});
+    out.callResponses.push_back({call, true});
   } else {
     requestRecord(departures_.addCall(now, call, heartbeat.id, heartbeat.gone), heartbeat.id, out);
   }
@@ -273,7 +273,7 @@
   handle(now, admission_.tick(now), out);
   outcomes_.tick(now);
   if (nextControlClientTick_ <= now) {
-    for (const ServerCallNo call : departures_.expired(now)) out.answers.push_back({call, false});
+    for (const ServerCallNo call : departures_.expired(now)) out.callResponses.push_back({call, false});
     for (const auto& [number, id] : departures_.retries(now)) requestRecord(number, id, out);
     nextControlClientTick_ = now + ControlClient::tickInterval();
     handle(now, controlClient_.tick(now), out);
--- a/src/mesh/sidecar/sidecar.hpp
+++ b/src/mesh/sidecar/sidecar.hpp
@@ -18,7 +18,7 @@
 namespace rackroute::mesh {
 
 /// The response to a call of the local server.
-struct ServerCallAnswer {
+struct ServerCallResponse {
   ServerCallNo call;
   /// False: the departure has not been persisted by the control plane yet; the server must retry.
   bool acknowledged = true;
@@ -29,7 +29,7 @@
   RoutingActions routing;
   AdmissionActions admission;    // run, answer and cancel only
   ControlClientActions control;  // send, dial, disconnect and protocolError only
-  std::vector<ServerCallAnswer> answers;
+  std::vector<ServerCallResponse> callResponses;
   std::vector<Served> serverChanges;  // changed local servers, for the log
 };
 
--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -66,18 +66,18 @@
         deadline_(settings.grace) {}
 
   int run() {
-    listen(settings_.outbound, clientListener_, HttpServerConnection::Shared{},
+    listen(settings_.outbound, clientListener_, HttpServerConnection::ListenerContext{},
            [this](const auto& connection, auto request) { requestReceived(connection, std::move(request)); });
-    HttpServerConnection::Shared forwards;
+    HttpServerConnection::ListenerContext forwards;
     forwards.idleTimeout = kInboundIdleTimeout;
     forwards.maxBodyBytes = kMaxBody;
     listen(settings_.inboundBind, forwardListener_, std::move(forwards),
            [this](const auto& connection, auto request) { forwardReceived(connection, std::move(request)); });
-    listen(settings_.ready, readinessListener_, HttpServerConnection::Shared{},
+    listen(settings_.ready, readinessListener_, HttpServerConnection::ListenerContext{},
            [this](const auto& connection, auto request) {
              apiCalled(ApiListener::ready, connection, *request);
            });
-    listen(settings_.control, serverListener_, HttpServerConnection::Shared{},
+    listen(settings_.control, serverListener_, HttpServerConnection::ListenerContext{},
            [this](const auto& connection, auto request) {
              apiCalled(ApiListener::control, connection, *request);
            });
@@ -100,21 +100,22 @@
   }
 
  private:
-  using Shared = std::shared_ptr<HttpServerConnection::Shared>;
+  using ListenerContextPtr = std::shared_ptr<HttpServerConnection::ListenerContext>;
   struct OpenRequest {
     std::shared_ptr<HttpServerConnection> connection;
     std::shared_ptr<const http::Message> request;
   };
 
   template <class OnRequest>
-  void listen(const Address& at, Shared& shared, HttpServerConnection::Shared settings, OnRequest onRequest) {
-    shared = std::make_shared<HttpServerConnection::Shared>(std::move(settings));
-    shared->onRequest = std::move(onRequest);
-    shared->onAbandoned = [](HttpServerConnection&) {};
+  void listen(const Address& at, ListenerContextPtr& context, HttpServerConnection::ListenerContext settings,
+              OnRequest onRequest) {
+    context = std::make_shared<HttpServerConnection::ListenerContext>(std::move(settings));
+    context->onRequest = std::move(onRequest);
+    context->onAbandoned = [](HttpServerConnection&) {};
     if (at.value.empty()) return;
     listeners_.push_back(std::make_unique<Listener>(
-        loop_, at, [this, shared](Poco::Net::StreamSocket socket, std::string peer) {
-          std::make_shared<HttpServerConnection>(loop_, shared, std::move(socket), std::move(peer))->start();
+        loop_, at, [this, context](Poco::Net::StreamSocket socket, std::string peer) {
+          std::make_shared<HttpServerConnection>(loop_, context, std::move(socket), std::move(peer))->start();
         }));
   }
 
@@ -209,12 +210,12 @@
     execute(sidecar_.serverCalled(loop_.now(), serverCall, heartbeat));
   }
 
-  void respond(const ServerCallAnswer& answer) {
-    const auto found = serverCalls_.find(answer.call);
+  void respond(const ServerCallResponse& response) {
+    const auto found = serverCalls_.find(response.call);
     if (found == serverCalls_.end()) return;
     const auto connection = std::move(found->second);
     serverCalls_.erase(found);
-    if (answer.acknowledged) return connection->respond(200, "Content-Type: application/json\r\n", "{}");
+    if (response.acknowledged) return connection->respond(200, "Content-Type: application/json\r\n", "{}");
     log(LogLevel::warning, "server", "",
         "departure not persisted by the control plane yet; the server must retry");
     connection->respond(503, "Retry-After: 0.2\r\n", "");
@@ -224,7 +225,7 @@
     for (RoutingAction& action : actions.routing) this->execute(action);
     for (AdmissionAction& action : actions.admission) this->execute(action);
     for (const ControlClientAction& action : actions.control) controlSessions_.execute(action);
-    for (const ServerCallAnswer& answer : actions.answers) respond(answer);
+    for (const ServerCallResponse& response : actions.callResponses) respond(response);
     for (const Served& server : actions.serverChanges) logServer(server);
     scheduleTick();
   }
@@ -395,7 +396,7 @@
   ControlSessions controlSessions_;
   HttpClient forwardClient_;
   HttpClient serverClient_;
-  Shared clientListener_, forwardListener_, readinessListener_, serverListener_;
+  ListenerContextPtr clientListener_, forwardListener_, readinessListener_, serverListener_;
   std::vector<std::unique_ptr<Listener>> listeners_;
   std::map<CallNo, OpenRequest> calls_;
   std::map<InboundRequestId, OpenRequest> inbound_;
--- a/src/mesh/transport/http_server_connection.cpp
+++ b/src/mesh/transport/http_server_connection.cpp
@@ -41,14 +41,14 @@
   }
 }
 
-HttpServerConnection::HttpServerConnection(sidecar::Loop& loop, std::shared_ptr<Shared> shared,
+HttpServerConnection::HttpServerConnection(sidecar::Loop& loop, std::shared_ptr<ListenerContext> context,
                                            Poco::Net::StreamSocket socket, std::string peer)
     : Connection(loop, "connection", std::move(socket), std::move(peer)),
-      shared_(std::move(shared)),
-      reader_(http::Reader::Kind::query, shared_->maxBodyBytes) {}
+      context_(std::move(context)),
+      reader_(http::Reader::Kind::query, context_->maxBodyBytes) {}
 
 void HttpServerConnection::start() {
-  shared_->connections[this] = std::static_pointer_cast<HttpServerConnection>(shared_from_this());
+  context_->connections[this] = std::static_pointer_cast<HttpServerConnection>(shared_from_this());
   startTimer();
   open();
   readNow();  // the request has usually arrived already
@@ -57,9 +57,9 @@
 // One timer covers the idle time before a request, then its head, then its body.
 void HttpServerConnection::startTimer() {
   loop_.cancel(timer_);
-  Span wait = shared_->idleTimeout;
+  Span wait = context_->idleTimeout;
   const bool receiving = reader_.begun(in_);
-  if (receiving) wait = headerSeen_ ? shared_->bodyTimeout : shared_->headerTimeout;
+  if (receiving) wait = headerSeen_ ? context_->bodyTimeout : context_->headerTimeout;
   timer_ = loop_.in(wait, [this, receiving] {
     timer_ = {};
     if (receiving) return reject(408);
@@ -98,7 +98,7 @@
   headerSeen_ = false;
   request_ = std::make_shared<const http::Message>(reader_.take(in_));
   ++messages_;
-  shared_->onRequest(std::static_pointer_cast<HttpServerConnection>(shared_from_this()), request_);
+  context_->onRequest(std::static_pointer_cast<HttpServerConnection>(shared_from_this()), request_);
 }
 
 void HttpServerConnection::reject(std::uint32_t status) {
@@ -110,7 +110,9 @@
   finish(Reason::badMessage);
 }
 
-bool HttpServerConnection::closesAfterResponse() const { return shared_->draining || !request_->keepsOpen(); }
+bool HttpServerConnection::closesAfterResponse() const {
+  return context_->draining || !request_->keepsOpen();
+}
 
 void HttpServerConnection::sendResponse(http::Gather pieces, bool close) {
   request_.reset();
@@ -171,8 +173,8 @@
 
 void HttpServerConnection::gone(Reason) {
   loop_.cancel(timer_);
-  if (request_) shared_->onAbandoned(*this);
-  shared_->connections.erase(this);
+  if (request_) context_->onAbandoned(*this);
+  context_->connections.erase(this);
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/transport/http_server_connection.hpp
+++ b/src/mesh/transport/http_server_connection.hpp
@@ -16,7 +16,8 @@
 
 class HttpServerConnection : public sidecar::Connection {
  public:
-  struct Shared {  // shared by all connections of a listener
+  /// The callbacks, limits and state shared by all connections of a listener.
+  struct ListenerContext {
     std::function<void(const std::shared_ptr<HttpServerConnection>&, std::shared_ptr<const http::Message>)>
         onRequest;
     std::function<void(HttpServerConnection&)> onAbandoned;  // the connection closed before the response
@@ -28,8 +29,8 @@
     /// All open connections.
     std::map<const HttpServerConnection*, std::shared_ptr<HttpServerConnection>> connections{};
   };
-  HttpServerConnection(sidecar::Loop& loop, std::shared_ptr<Shared> shared, Poco::Net::StreamSocket socket,
-                       std::string peer);
+  HttpServerConnection(sidecar::Loop& loop, std::shared_ptr<ListenerContext> context,
+                       Poco::Net::StreamSocket socket, std::string peer);
 
   void start();
   /// Sends a response. fields: complete header lines; Content-Length is added.
@@ -49,7 +50,7 @@
   void sendResponse(http::Gather pieces, bool close);
   [[nodiscard]] bool closesAfterResponse() const;
 
-  std::shared_ptr<Shared> shared_;
+  std::shared_ptr<ListenerContext> context_;
   http::Reader reader_;
   std::shared_ptr<const http::Message> request_;
   sidecar::Loop::TimerId timer_;
