--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -17,7 +17,7 @@
 #include "mesh/configuration/duration_text.hpp"
 #include "mesh/control/control_node.hpp"
 #include "mesh/storage/store.hpp"
-#include "mesh/transport/calls.hpp"
+#include "mesh/transport/api_endpoints.hpp"
 #include "mesh/transport/event_loop.hpp"
 #include "mesh/transport/http_server_connection.hpp"
 #include "mesh/transport/listener.hpp"
@@ -107,22 +107,23 @@
   }
 
   void listenToOperators(const Address& at) {
-    shared_ = std::make_shared<HttpServerConnection::Shared>();
-    for (const CallRow& row : kCalls) {
-      if (row.by == CallBy::core) shared_->mostBody = std::max(shared_->mostBody, row.mostBytes);
+    shared_ = std::make_shared<HttpServerConnection::ListenerContext>();
+    for (const ApiEndpoint& row : kApiEndpoints) {
+      if (row.role == MachineRole::core)
+        shared_->maxBodyBytes = std::max(shared_->maxBodyBytes, row.maxBodyBytes);
     }
-    shared_->asked = [this](const std::shared_ptr<HttpServerConnection>& connection,
-                            std::shared_ptr<const http::Message> request) {
+    shared_->onRequest = [this](const std::shared_ptr<HttpServerConnection>& connection,
+                                std::shared_ptr<const http::Message> request) {
       bool known = false;
       const auto called =
-          findCall(CallSocket::control, CallBy::core, request->word(0), request->word(1), known);
-      if (!called) return connection->answer(known ? 405 : 404, "", "");
+          findApiEndpoint(ApiListener::control, MachineRole::core, request->word(0), request->word(1), known);
+      if (!called) return connection->respond(known ? 405 : 404, "", "");
       const OperatorCallNo no{++lastCall_};
       calls_[no] = connection;
-      perform(called->row->kind == CallKind::changeItems ? node_->change(loop_.now(), no, request->body())
-                                                         : node_->readBack(loop_.now(), no));
+      perform(called->endpoint->kind == ApiCall::changeItems ? node_->change(loop_.now(), no, request->body())
+                                                             : node_->readBack(loop_.now(), no));
     };
-    shared_->left = [](HttpServerConnection&) {};
+    shared_->onAbandoned = [](HttpServerConnection&) {};
     operatorListener_.emplace(loop_, at, [this](Poco::Net::StreamSocket socket, std::string peer) {
       std::make_shared<HttpServerConnection>(loop_, shared_, std::move(socket), std::move(peer))->start();
     });
@@ -136,7 +137,7 @@
     session->accepted(callbacksFor(no, [this, no] { perform(node_->sessionAccepted(loop_.now(), no)); }));
   }
 
-  SessionConnection::Ends callbacksFor(SessionNo no, std::function<void()> up) {
+  SessionConnection::Callbacks callbacksFor(SessionNo no, std::function<void()> up) {
     return {std::move(up),
             [this, no](const json& message) { perform(node_->messageReceived(loop_.now(), no, message)); },
             [this, no] { node_->dataReceived(loop_.now(), no); },
@@ -152,11 +153,11 @@
         std::make_shared<SessionConnection>(loop_, compressor_, Poco::Net::StreamSocket(), at.value);
     sessions_[no] = session;
     const auto up = std::make_shared<bool>(false);
-    SessionConnection::Ends callbacks = callbacksFor(no, [this, no, at, up] {
+    SessionConnection::Callbacks callbacks = callbacksFor(no, [this, no, at, up] {
       *up = true;
       perform(node_->sessionEstablished(loop_.now(), no, at));
     });
-    callbacks.over = [this, no, at, up] {
+    callbacks.onClosed = [this, no, at, up] {
       sessions_.erase(no);
       perform(*up ? node_->sessionClosed(loop_.now(), no) : node_->dialFailed(loop_.now(), at));
     };
@@ -168,7 +169,7 @@
       switch (action.kind) {
         case ControlAction::Kind::send:
           if (const auto found = sessions_.find(action.session); found != sessions_.end())
-            found->second->say(action.text);
+            found->second->sendMessage(action.text);
           break;
         case ControlAction::Kind::dial:
           dial(action.at);
@@ -192,7 +193,7 @@
             std::string fields = "Content-Type: application/json\r\n";
             if (action.retryAfter > Span{0})
               fields += "Retry-After: " + writeSeconds(action.retryAfter) + "\r\n";
-            found->second->answer(action.status, fields, action.body);
+            found->second->respond(action.status, fields, action.body);
             calls_.erase(found);
           }
           break;
@@ -239,7 +240,7 @@
   }
 
   void stop() {
-    if (shared_) shared_->closing = true;
+    if (shared_) shared_->draining = true;
     loop_.in(kShutdownGrace, [this] { loop_.stop(); });
   }
 
@@ -252,7 +253,7 @@
   std::optional<ControlNode> node_;
   std::optional<Listener> sessionListener_;
   std::optional<Listener> operatorListener_;
-  std::shared_ptr<HttpServerConnection::Shared> shared_;
+  std::shared_ptr<HttpServerConnection::ListenerContext> shared_;
   std::map<SessionNo, std::shared_ptr<SessionConnection>> sessions_;
   std::map<OperatorCallNo, std::shared_ptr<HttpServerConnection>> calls_;
   json loggedStatus_;  // as last logged
