--- a/src/lab/mesh/agreement_histories.cpp
+++ b/src/lab/mesh/agreement_histories.cpp
@@ -135,7 +135,7 @@
       node.self, node.self.incarnation.value, &running.items, [](const VoterSet&, bool) { return true; }});
   for (const auto& [key, value] : node.disk) {
     if (key.starts_with(kItemPrefix)) {
-      running.items.merge(itemFrom(nlohmann::json::parse(value)));
+      running.items.merge(itemFromJson(nlohmann::json::parse(value)));
     } else {
       running.agreement->restore(key, value);
     }
@@ -354,7 +354,7 @@
     std::size_t items = 0;
     for (const Item& item : orders_[i]->items) {
       const Item* held = running.items.find(item.key);
-      items += held != nullptr && held->print == item.print;
+      items += held != nullptr && held->hash == item.hash;
     }
     if (items > 0) node.inForce |= 1U << i;
     if (items > 0 && items < orders_[i]->items.size()) node.partial = true;
--- a/src/lab/mesh/emulated.hpp
+++ b/src/lab/mesh/emulated.hpp
@@ -235,8 +235,8 @@
   void freeSlot(std::size_t machine, std::uint64_t serverLife);
   // --- servers
   void beat(std::size_t machine, std::uint64_t serverLife);
-  void call(std::size_t machine, std::uint64_t serverLife, const Beat& told);
-  void callLate(std::size_t machine, std::uint64_t serverLife, const Beat& told);
+  void call(std::size_t machine, std::uint64_t serverLife, const ServerHeartbeat& told);
+  void callLate(std::size_t machine, std::uint64_t serverLife, const ServerHeartbeat& told);
   void answered(std::size_t machine, const ServerCallAnswer& answer);
   void beginsToLeave(std::size_t machine, std::uint64_t serverLife);
   void ends(std::size_t machine, std::uint64_t serverLife);
--- a/src/lab/mesh/world_departures.cpp
+++ b/src/lab/mesh/world_departures.cpp
@@ -19,7 +19,7 @@
 
 void World::cancelForward(std::size_t machine, const RoutingAction& act) {
   Side& here = side(machine);
-  const auto found = here.forwards.find(act.sent.value);
+  const auto found = here.forwards.find(act.attempt.value);
   if (found == here.forwards.end()) return;
   const auto cancel = std::move(found->second);
   here.forwards.erase(found);
@@ -28,7 +28,7 @@
 
 void World::cancelRun(std::size_t machine, const AdmissionAction& act) {
   Side& here = side(machine);
-  const auto found = here.runs.find(act.ask.value);
+  const auto found = here.runs.find(act.request.value);
   if (found == here.runs.end()) return;
   const auto stop = std::move(found->second);
   here.runs.erase(found);
--- a/src/lab/mesh/world_disks.cpp
+++ b/src/lab/mesh/world_disks.cpp
@@ -22,7 +22,7 @@
     });
     disk.files->runScheduled();
     if (outcome.state == OpenState::opened) return true;
-    const bool unreadable = outcome.state == OpenState::unreadable;
+    const bool unreadable = outcome.state == OpenState::corrupt;
     if (unreadable) judge_.failed(now_, "STORE unreadable", outcome.error.line());
     if (!unreadable || !disk.database->setAside()) return false;
     anew.firstBoot = false;
--- a/src/lab/mesh/world_processes.cpp
+++ b/src/lab/mesh/world_processes.cpp
@@ -190,10 +190,10 @@
       seal = answer->second;
     }
     const Wanted wanted = open->second.second;
-    answered(machine, wanted, attempt, status, seal, act.comeBack);
+    answered(machine, wanted, attempt, status, seal, act.retryAfter);
   }
   for (const AdmissionAction& act : acts.admission) {
-    const auto found = here.asks.find(act.ask.value);
+    const auto found = here.asks.find(act.request.value);
     if (found == here.asks.end()) continue;
     if (act.kind == AdmissionAction::Kind::run) {
       serve(machine, act);
@@ -212,7 +212,7 @@
       status = answer->first;
       seal = answer->second;
     }
-    reply(act.told, status, seal, act.bytes);
+    reply(act.reply, status, seal, act.bytes);
   }
   for (const ControlClientAction& act : acts.control) {
     auto& all = dialled_[machine];
--- a/src/lab/mesh/world_requests.cpp
+++ b/src/lab/mesh/world_requests.cpp
@@ -54,10 +54,10 @@
                 known ? known->generation.value : 0, least);
     const std::uint64_t call = ++here.nextCall;
     here.attemptOf[call] = attempt;
-    Asked told;
+    ClientRequest told;
     told.host = kHost;
     told.path = asked.prefix;
-    told.patience = deadline - now_;
+    told.timeout = deadline - now_;
     act(machine, here.sidecar->asked(now_, {call}, told));
     mayLeave(machine, call, deadline);
   });
@@ -92,14 +92,14 @@
 void World::forward(std::size_t machine, const RoutingAction& act) {
   const std::uint64_t lifeA = machines_[machine].life;
   const std::uint64_t attempt = side(machine).attemptOf.at(act.call.value);
-  const auto ended = [this, machine, call = act.call, sent = act.sent](
+  const auto ended = [this, machine, call = act.call, sent = act.attempt](
                          ForwardResult how, const ForwardReply& told, std::uint32_t status,
                          std::shared_ptr<const void> bytes) {
     this->act(machine,
               side(machine).sidecar->forwarded(now_, call, sent, how, told, status, std::move(bytes)));
   };
   const auto target = machineAt(act.at.value);
-  const Span until = now_ + act.ask.left + 2 * kSpare;
+  const Span until = now_ + act.forward.left + 2 * kSpare;
   const auto fails = [=, this](Span when, ForwardResult how) {
     atProcess(when, machine, lifeA, [=] { ended(how, {}, 0, nullptr); });
   };
@@ -121,14 +121,14 @@
   *watch = [=, this, weak = std::weak_ptr(watch)] {
     if (*over) return;
     if (machines_[to].life != lifeB)
-      return finish(now_ + (machines_[to].dark ? kUnread : delay(machine, to)), ForwardResult::broken, {}, 0,
-                    nullptr);
-    if (now_ >= until) return finish(now_, ForwardResult::silent, {}, 0, nullptr);
+      return finish(now_ + (machines_[to].dark ? kUnread : delay(machine, to)), ForwardResult::connectionLost,
+                    {}, 0, nullptr);
+    if (now_ >= until) return finish(now_, ForwardResult::timedOut, {}, 0, nullptr);
     if (const auto self = weak.lock()) in(20ms, [self] { (*self)(); });
   };
   in(20ms, [watch] { (*watch)(); });
   const auto received = std::make_shared<std::uint64_t>(0);  // as what the other process took it
-  side(machine).forwards[act.sent.value] = [=, this] {
+  side(machine).forwards[act.attempt.value] = [=, this] {
     *over = true;
     atProcess(now_ + delay(machine, to), to, lifeB, [=, this] {
       if (*received > 0) this->act(to, side(to).sidecar->forwardAbandoned(now_, {*received}));
@@ -141,15 +141,16 @@
     there.asks[no] = {attempt, [=, this](const ForwardReply& told, std::uint32_t status, std::uint64_t,
                                          const std::shared_ptr<const void>& bytes) {
                         if (isCut(to, machine))
-                          return finish(now_ + kUnread, ForwardResult::broken, {}, 0, nullptr);
+                          return finish(now_ + kUnread, ForwardResult::connectionLost, {}, 0, nullptr);
                         // As bytes: what the header can't carry must not be known at the other end.
                         const auto read = toldFrom(rackroute::mesh::textOf(told));
-                        finish(now_ + delay(to, machine), read ? ForwardResult::told : ForwardResult::broken,
+                        finish(now_ + delay(to, machine),
+                               read ? ForwardResult::replied : ForwardResult::connectionLost,
                                read.value_or(ForwardReply{}), status, bytes);
                       }};
-    const auto heardAsk = askFrom(rackroute::mesh::textOf(act.ask));
+    const auto heardAsk = askFrom(rackroute::mesh::textOf(act.forward));
     std::optional<std::string> key;
-    if (act.ask.kind == RouteKind::keyed) {
+    if (act.forward.kind == RouteKind::keyed) {
       const auto open = keyOf_.find(attempt);
       if (open != keyOf_.end()) key = open->second;
     }
@@ -161,30 +162,31 @@
   Side& here = side(machine);
   Server& server = here.server;
   const std::uint64_t life = machines_[machine].life;
-  const std::uint64_t attempt = here.asks.at(act.ask.value).attempt;
-  const auto ends = [this, machine, life, ask = act.ask](Span when, AtServer how, ServerAnswer answer) {
+  const std::uint64_t attempt = here.asks.at(act.request.value).attempt;
+  const auto ends = [this, machine, life, ask = act.request](Span when, ExecutionResult how,
+                                                             ServerAnswer answer) {
     atProcess(when, machine, life,
               [=, this] { this->act(machine, side(machine).sidecar->ran(now_, ask, how, answer)); });
   };
-  if (!server.up) return ends(now_ + 100us, AtServer::notSent, {});
+  if (!server.up) return ends(now_ + 100us, ExecutionResult::notSent, {});
   const Span until = now_ + act.left + kSpare;
   const auto bytesOf = [](std::uint32_t status, std::uint64_t seal) {
     return std::make_shared<const std::pair<std::uint32_t, std::uint64_t>>(status, seal);
   };
   judge_.arrived(now_, attempt, server.service);
   if (server.id != act.instance.value)
-    return ends(now_ + 200us, AtServer::answered, {421, true, bytesOf(421, 0), 0});
+    return ends(now_ + 200us, ExecutionResult::answered, {421, true, bytesOf(421, 0), 0});
   const std::uint64_t serverLife = server.lives;
   const Span giveUp = now_ + act.left;
   const auto stopped = std::make_shared<bool>(false);  // its connection was closed
-  side(machine).runs[act.ask.value] = [stopped] { *stopped = true; };
-  auto run = [=, this, left = act.left, ask = act.ask] {
+  side(machine).runs[act.request.value] = [stopped] { *stopped = true; };
+  auto run = [=, this, left = act.left, ask = act.request] {
     Server& there = side(machine).server;
     if (there.lives != serverLife) return;
     if (*stopped) return freeSlot(machine, serverLife);
     if (now_ >= giveUp) {
       --there.busy;
-      return ends(now_, AtServer::answered, {503, true, bytesOf(503, 0), 0});
+      return ends(now_, ExecutionResult::answered, {503, true, bytesOf(503, 0), 0});
     }
     const std::uint64_t seal = ++sealNo_;
     side(machine).lastRun = now_;
@@ -207,13 +209,13 @@
       stop();
     });
     at(std::min(done, until), [=, this] {
-      if (side(machine).server.lives != serverLife) return ends(now_, AtServer::broken, {});
-      if (done > until) return ends(now_, AtServer::timedOut, {});
+      if (side(machine).server.lives != serverLife) return ends(now_, ExecutionResult::connectionLost, {});
+      if (done > until) return ends(now_, ExecutionResult::timedOut, {});
       if (luck < loses)
-        return ends(luck < loses / 2 ? now_ : until, luck < loses / 2 ? AtServer::broken : AtServer::timedOut,
-                    {});
-      if (luck < loses + spoils) return ends(now_, AtServer::spoilt, {});
-      ends(now_, AtServer::answered, {200, false, bytesOf(200, seal), 5000});
+        return ends(luck < loses / 2 ? now_ : until,
+                    luck < loses / 2 ? ExecutionResult::connectionLost : ExecutionResult::timedOut, {});
+      if (luck < loses + spoils) return ends(now_, ExecutionResult::malformed, {});
+      ends(now_, ExecutionResult::answered, {200, false, bytesOf(200, seal), 5000});
     });
   };
   if (server.busy < day_.slots) {
@@ -222,7 +224,7 @@
   } else if (server.queue.size() < 4 * day_.slots) {
     server.queue.push_back(run);
   } else {
-    ends(now_ + 200us, AtServer::answered, {503, true, bytesOf(503, 0), 0});
+    ends(now_ + 200us, ExecutionResult::answered, {503, true, bytesOf(503, 0), 0});
   }
 }
 
--- a/src/lab/mesh/world_servers.cpp
+++ b/src/lab/mesh/world_servers.cpp
@@ -20,7 +20,7 @@
   if (server.lives != serverLife || !server.up) return;
   in(kBeat, [this, machine, serverLife] { beat(machine, serverLife); });
   if (server.draining && server.leavesSince < Span{0}) beginsToLeave(machine, serverLife);
-  Beat told;
+  ServerHeartbeat told;
   told.id = {server.id};
   told.service = {serviceName(server.service)};
   told.address = {machines_[machine].name + ":app"};
@@ -33,7 +33,7 @@
     // What it says now is its sign-off; a last beat, of before that, may still be on its way.
     if (server.drainAcked >= Span{0}) return;
     if (fraction(clients_) < kLate) callLate(machine, serverLife, told);
-    Beat gone;
+    ServerHeartbeat gone;
     gone.id = told.id;
     gone.gone = true;
     return call(machine, serverLife, gone);
@@ -42,12 +42,12 @@
   call(machine, serverLife, told);
 }
 
-void World::callLate(std::size_t machine, std::uint64_t serverLife, const Beat& told) {
+void World::callLate(std::size_t machine, std::uint64_t serverLife, const ServerHeartbeat& told) {
   in(span(kLatest * fraction(clients_)),
      [this, machine, serverLife, told] { call(machine, serverLife, told); });
 }
 
-void World::call(std::size_t machine, std::uint64_t serverLife, const Beat& told) {
+void World::call(std::size_t machine, std::uint64_t serverLife, const ServerHeartbeat& told) {
   const Machine& m = machines_[machine];
   if (m.life == 0 || m.dark || m.frozenUntil > now_) return;
   Side& here = side(machine);
@@ -82,7 +82,7 @@
 
 void World::ends(std::size_t machine, std::uint64_t serverLife) {
   if (side(machine).server.lives != serverLife) return;
-  Beat gone;
+  ServerHeartbeat gone;
   gone.id = {side(machine).server.id};
   gone.gone = true;
   call(machine, serverLife, gone);
--- a/src/mesh/admission/admission.cpp
+++ b/src/mesh/admission/admission.cpp
@@ -10,346 +10,361 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kDrainMargin = 1200ms;         // before the bound, nothing new is let to a server that drains
-constexpr double kWaitPart = 0.4;             // of the aim, the longest that a request waits here for room
-constexpr Span kLeastWait = 60ms;             // for the quickest requests, and late ones: a few slots' turns
-constexpr double kUnseenPart = 0.25;          // of a route's aim, its length before one has run
-constexpr double kLateValue = 0.2;            // of its worth, for a request that can't keep its aim any more
-constexpr Span kClaimTime = 450ms;            // for a quorum's votes: a slow sync, or a large configuration
-constexpr Span kLeastLeft = 15ms;             // of a client's time; no server answers in less
-constexpr Span kTellBack = 40ms;              // before that time is over, for word that it did not run
-constexpr double kRunShare = 0.1;             // of the newest run in the mean
-constexpr Span kNoteSpare = 10s;              // beyond the window that an operation's end is remembered
-constexpr std::size_t kMostLengths = 10'000;  // routes whose lengths are remembered
-constexpr std::uint32_t kNotThatServer = 421;
-constexpr std::size_t kMostServers = 256;  // of a machine, in a minute
-constexpr Span kNoServerFor = 60s;         // without a beat, a server that never signed off is forgotten
-
-Span spanOf(double seconds) {
+// New requests are refused this long before a draining server's deadline.
+constexpr Span kDrainMargin = 1200ms;
+// Longest time in the queue, as a share of the route's target time.
+constexpr double kMaxWaitShare = 0.4;
+// Lower bound of that time, for routes with a short target time and for late requests.
+constexpr Span kMinWait = 60ms;
+// Expected execution time of a route that has not run yet, as a share of its target time.
+constexpr double kUnknownRouteShare = 0.25;
+// Factor on the value of a request that can't meet its target time any more.
+constexpr double kLateValueFactor = 0.2;
+// Timeout for a quorum of votes.
+constexpr Span kClaimTimeout = 450ms;
+// Requests with less time left are not sent to a server.
+constexpr Span kMinTimeLeft = 15ms;
+// Time to deliver a refusal before the client's deadline.
+constexpr Span kReplyMargin = 40ms;
+// Weight of the newest execution in the moving averages.
+constexpr double kMeanWeight = 0.1;
+// Time beyond the key window for which a completed operation is remembered.
+constexpr Span kOperationRetentionMargin = 10s;
+constexpr std::size_t kMaxRouteMeans = 10'000;
+constexpr std::uint32_t kMisdirectedRequest = 421;
+constexpr std::size_t kMaxServers = 256;
+// A server without heartbeats for this long is forgotten.
+constexpr Span kServerExpiry = 60s;
+
+Span toSpan(double seconds) {
   return std::chrono::duration_cast<Span>(std::chrono::duration<double>(seconds));
 }
 
-// Guards against a request that only waited, whose caller hears so too late to promise that it did not run.
-Span tellBack(Span left) { return std::max(kLeastLeft, std::min(kTellBack, left / 4)); }
+// How long before the deadline a queued request is refused, so that its caller still learns in time that it
+// did not run.
+Span replyMargin(Span left) { return std::max(kMinTimeLeft, std::min(kReplyMargin, left / 4)); }
 
 }  // namespace
 
-Admission::Admission(Built built) : built_(std::move(built)), newsLife_(built_.life) {}
-
-AdmissionActions Admission::beat(Span now, const Beat& beat) {
-  AdmissionActions acts;
-  beaten_ = true;
-  Server& server = entryFor(now, beat);
-  const Served before = server.told;
-  server.lastBeat = now;
-  const bool late = !beat.gone && before.seq > 0 && beat.seq <= server.seq;
-  if (!beat.gone && !late && !server.told.gone) {
-    // Guards against work for a server that crashed, where another listens now; and against an adopted one
-    // that ended unseen.
+Admission::Admission(Config config) : config_(std::move(config)), announcedLife_(config_.life) {}
+
+AdmissionActions Admission::heartbeat(Span now, const ServerHeartbeat& heartbeat) {
+  AdmissionActions actions;
+  heartbeatSeen_ = true;
+  Server& server = findOrAddServer(now, heartbeat);
+  const Served before = server.announced;
+  server.lastHeartbeat = now;
+  const bool late = !heartbeat.gone && before.seq > 0 && heartbeat.seq <= server.seq;
+  if (!heartbeat.gone && !late && !server.announced.gone) {
+    // Another server at the same address has ended: it crashed, or was adopted after it had stopped.
     for (auto& [id, other] : servers_) {
-      if (id != beat.id && other.address == beat.address) over(now, other, acts);
+      if (id != heartbeat.id && other.address == heartbeat.address) markReplaced(now, other, actions);
     }
-    server.seq = beat.seq;
-    server.address = beat.address;
-    server.told.capacity = std::max<std::uint32_t>(beat.capacity, 1);
-    server.told.coldLeft = beat.coldLeft;
-    server.told.replaced = false;
-    server.coldUntil = now + beat.coldLeft;
-  }
-  depart(now, server, beat.draining, beat.gone);
-  Served plain = server.told;
+    server.seq = heartbeat.seq;
+    server.address = heartbeat.address;
+    server.announced.capacity = std::max<std::uint32_t>(heartbeat.capacity, 1);
+    server.announced.coldLeft = heartbeat.coldLeft;
+    server.announced.replaced = false;
+    server.coldUntil = now + heartbeat.coldLeft;
+  }
+  markDeparture(now, server, heartbeat.draining, heartbeat.gone);
+  Served plain = server.announced;
   plain.coldLeft = before.coldLeft;
-  // Told when something changed that others act on; how cold it is they count down themselves.
-  if (!(plain == before) || before.seq == 0) tell(server, acts);
-  if (server.told.gone) turnAwayAll(now, server, acts);
-  return acts;
-}
-
-Admission::Server& Admission::entryFor(Span now, const Beat& beat) {
-  if (const auto found = servers_.find(beat.id); found != servers_.end()) return found->second;
-  makePlace();
-  Server& fresh = servers_[beat.id];
-  fresh.told.id = beat.id;
-  fresh.told.service = beat.service.value.empty() ? built_.service : beat.service;
-  fresh.told.at = built_.at;
-  fresh.told.node = built_.node;
-  fresh.told.zone = beat.zone.empty() ? built_.zone : beat.zone;
-  fresh.told.life = newsLife_;
-  const auto known = departed_.find(beat.id);
-  const bool drained = known != departed_.end() && known->second.draining;
-  const bool gone = known != departed_.end() && known->second.gone;
-  // Guards against a drain whose time begins anew with each life of this process: since when it drains was
-  // told to an earlier one.
-  if (drained || beat.draining) fresh.drainsSince = now - built_.drain;
-  depart(now, fresh, drained, gone);
-  return fresh;
-}
-
-// Guards against calls under ever new ids: the server that was quiet for the longest is forgotten, or none.
-void Admission::makePlace() {
-  if (servers_.size() < kMostServers) return;
-  auto quietest = servers_.end();
+  // Other processes count the warm-up time down themselves, so a change of it alone is not announced.
+  if (!(plain == before) || before.seq == 0) announce(server, actions);
+  if (server.announced.gone) refuseWaiting(now, server, actions);
+  return actions;
+}
+
+Admission::Server& Admission::findOrAddServer(Span now, const ServerHeartbeat& heartbeat) {
+  if (const auto found = servers_.find(heartbeat.id); found != servers_.end()) return found->second;
+  evictIdleServer();
+  Server& added = servers_[heartbeat.id];
+  added.announced.id = heartbeat.id;
+  added.announced.service = heartbeat.service.value.empty() ? config_.service : heartbeat.service;
+  added.announced.at = config_.at;
+  added.announced.node = config_.node;
+  added.announced.zone = heartbeat.zone.empty() ? config_.zone : heartbeat.zone;
+  added.announced.life = announcedLife_;
+  const auto departure = departed_.find(heartbeat.id);
+  const bool drained = departure != departed_.end() && departure->second.draining;
+  const bool gone = departure != departed_.end() && departure->second.gone;
+  // An earlier life of this process may have seen the start of the drain. Assuming that the drain time is
+  // over keeps a restart from extending it.
+  if (drained || heartbeat.draining) added.drainingSince = now - config_.drain;
+  markDeparture(now, added, drained, gone);
+  return added;
+}
+
+// Bounds the number of servers: evicts the idle one with the oldest heartbeat, if there is one.
+void Admission::evictIdleServer() {
+  if (servers_.size() < kMaxServers) return;
+  auto oldest = servers_.end();
   for (auto at = servers_.begin(); at != servers_.end(); ++at) {
     const bool idle = at->second.busy == 0 && at->second.waiting.empty();
-    if (idle && (quietest == servers_.end() || at->second.lastBeat < quietest->second.lastBeat))
-      quietest = at;
+    if (idle && (oldest == servers_.end() || at->second.lastHeartbeat < oldest->second.lastHeartbeat))
+      oldest = at;
   }
-  if (quietest != servers_.end()) servers_.erase(quietest);
+  if (oldest != servers_.end()) servers_.erase(oldest);
 }
 
-// Never taken back.
-void Admission::depart(Span now, Server& server, bool draining, bool gone) const {
-  if ((draining || gone) && server.drainsSince == Span::max()) server.drainsSince = now;
-  server.told.draining = server.told.draining || draining;
-  server.told.gone = server.told.gone || gone;
+// Draining and sign-off are never undone.
+void Admission::markDeparture(Span now, Server& server, bool draining, bool gone) const {
+  if ((draining || gone) && server.drainingSince == Span::max()) server.drainingSince = now;
+  server.announced.draining = server.announced.draining || draining;
+  server.announced.gone = server.announced.gone || gone;
 }
 
-// Guards against a drain or a sign-off that an earlier life of this process acknowledged, and this one has
-// not heard of: the server's late beats, or old news, may say that it is ready.
-void Admission::learnDeparture(Span now, const Served& served, AdmissionActions& acts) {
-  if (served.node != built_.node || (!served.draining && !served.gone)) return;
+// Applies a drain or sign-off that an earlier life of this process acknowledged. Late heartbeats and old
+// announcements may still describe the server as ready.
+void Admission::applyKnownDeparture(Span now, const Served& served, AdmissionActions& actions) {
+  if (served.node != config_.node || (!served.draining && !served.gone)) return;
   const auto found = servers_.find(served.id);
   if (found == servers_.end()) {
-    if (departed_.insert_or_assign(served.id, served).second) departedInOrder_.push_back(served.id);
-    if (departed_.size() <= kMostServers) return;
-    departed_.erase(departedInOrder_.front());
-    departedInOrder_.pop_front();
+    if (departed_.insert_or_assign(served.id, served).second) departedOrder_.push_back(served.id);
+    if (departed_.size() <= kMaxServers) return;
+    departed_.erase(departedOrder_.front());
+    departedOrder_.pop_front();
     return;
   }
   Server& server = found->second;
-  const bool isNew = (served.draining && !server.told.draining) || (served.gone && !server.told.gone);
+  const bool isNew =
+      (served.draining && !server.announced.draining) || (served.gone && !server.announced.gone);
   if (!isNew) return;
-  if (server.drainsSince == Span::max()) server.drainsSince = now - built_.drain;
-  depart(now, server, served.draining, served.gone);
-  tell(server, acts);
-  turnAwayAll(now, server, acts);
+  if (server.drainingSince == Span::max()) server.drainingSince = now - config_.drain;
+  markDeparture(now, server, served.draining, served.gone);
+  announce(server, actions);
+  refuseWaiting(now, server, actions);
 }
 
-void Admission::turnAwayAll(Span now, Server& server, AdmissionActions& acts) {
+void Admission::refuseWaiting(Span now, Server& server, AdmissionActions& actions) {
   while (!server.waiting.empty()) {
     const AskNo no = server.waiting.front();
-    refuse(now, no, Verdict::leaving, &server, acts);
+    refuse(now, no, Verdict::leaving, &server, actions);
   }
 }
 
-// It has ended without a word.
-void Admission::over(Span now, Server& server, AdmissionActions& acts) {
-  if (server.told.gone || server.told.replaced) return;
-  server.told.replaced = true;
-  tell(server, acts);
-  turnAwayAll(now, server, acts);
+// The server has ended without signing off.
+void Admission::markReplaced(Span now, Server& server, AdmissionActions& actions) {
+  if (server.announced.gone || server.announced.replaced) return;
+  server.announced.replaced = true;
+  announce(server, actions);
+  refuseWaiting(now, server, actions);
 }
 
-void Admission::tell(Server& server, AdmissionActions& acts) {
-  server.told.seq = ++said_;
-  AdmissionAction act{AdmissionAction::Kind::tell, {}};
-  act.served = server.told;
-  acts.push_back(std::move(act));
+void Admission::announce(Server& server, AdmissionActions& actions) {
+  server.announced.seq = ++lastSeq_;
+  AdmissionAction action{AdmissionAction::Kind::announce, {}};
+  action.served = server.announced;
+  actions.push_back(std::move(action));
 }
 
-// Guards against a server that stands idle for a beat after its process was killed and came back: what the
-// others know of it is enough to send it work, as it refuses what is meant for another.
+// Lets a server receive work between a restart of this process and the server's next heartbeat. This is safe
+// because a server refuses requests that are meant for another instance.
 AdmissionActions Admission::adopt(Span now, const Served& served) {
-  AdmissionActions acts;
-  learnDeparture(now, served, acts);
-  const bool same = served.node == built_.node && served.service == built_.service;
-  // Told in this life, before or after followLife(), or in one before the last.
-  const bool own = served.life == built_.life || served.life == newsLife_ || served.life < supersededLife_;
-  if (beaten_ || leaving_ || built_.server.value.empty() || !same || own) return acts;
+  AdmissionActions actions;
+  applyKnownDeparture(now, served, actions);
+  const bool same = served.node == config_.node && served.service == config_.service;
+  // Announced in this life, before or after continueAfterLife(), or in a life before the superseded one.
+  const bool own =
+      served.life == config_.life || served.life == announcedLife_ || served.life < supersededLife_;
+  if (heartbeatSeen_ || leaving_ || config_.server.value.empty() || !same || own) return actions;
   const bool left = served.gone || served.draining || served.replaced || departed_.count(served.id) > 0;
-  if (left || servers_.count(served.id) > 0) return acts;
-  // Of two that stand by what others know, the one that was told of last.
-  const std::pair told{served.life, served.seq};
-  if (!servers_.empty() && told <= adopted_) return acts;
-  for (auto& [id, other] : servers_) over(now, other, acts);
-  adopted_ = told;
+  if (left || servers_.count(served.id) > 0) return actions;
+  // Among adopted servers the latest announcement wins.
+  const std::pair version{served.life, served.seq};
+  if (!servers_.empty() && version <= adoptedVersion_) return actions;
+  for (auto& [id, other] : servers_) markReplaced(now, other, actions);
+  adoptedVersion_ = version;
   Server& server = servers_[served.id];
-  server.told = served;
-  server.told.at = built_.at;
-  server.told.life = newsLife_;
-  server.told.leaving = false;
-  server.address = built_.server;
+  server.announced = served;
+  server.announced.at = config_.at;
+  server.announced.life = announcedLife_;
+  server.announced.leaving = false;
+  server.address = config_.server;
   server.coldUntil = now + served.coldLeft;
-  server.lastBeat = now;
-  tell(server, acts);
-  return acts;
+  server.lastHeartbeat = now;
+  announce(server, actions);
+  return actions;
 }
 
-AdmissionActions Admission::followLife(LifeNo highest) {
-  AdmissionActions acts;
-  // Equal to this one: it is another life only as long as this one has told nothing.
-  const bool higher = highest > newsLife_ || (highest == newsLife_ && said_ == 0);
-  if (!higher || highest.value == std::numeric_limits<std::uint64_t>::max()) return acts;
+AdmissionActions Admission::continueAfterLife(LifeNo highest) {
+  AdmissionActions actions;
+  // An equal number belongs to another life only if this one has announced nothing yet.
+  const bool higher = highest > announcedLife_ || (highest == announcedLife_ && lastSeq_ == 0);
+  if (!higher || highest.value == std::numeric_limits<std::uint64_t>::max()) return actions;
   supersededLife_ = highest;
-  newsLife_ = {highest.value + 1};
+  announcedLife_ = {highest.value + 1};
   for (auto& [id, server] : servers_) {
-    server.told.life = newsLife_;
-    tell(server, acts);
+    server.announced.life = announcedLife_;
+    announce(server, actions);
   }
-  return acts;
+  return actions;
 }
 
-bool Admission::open(Span now, const Server& server) const {
-  if (leaving_ || server.told.gone || server.told.replaced) return false;
-  return server.drainsSince == Span::max() || now < server.drainsSince + built_.drain - kDrainMargin;
+bool Admission::isOpen(Span now, const Server& server) const {
+  if (leaving_ || server.announced.gone || server.announced.replaced) return false;
+  return server.drainingSince == Span::max() || now < server.drainingSince + config_.drain - kDrainMargin;
 }
 
-std::uint32_t Admission::room(const Server& server) const { return server.told.capacity; }
+std::uint32_t Admission::capacityOf(const Server& server) const { return server.announced.capacity; }
 
-Span Admission::waitAhead(const Server& server) const {
-  double ahead = server.meanRun;
-  for (const AskNo no : server.waiting) ahead += jobs_.at(no).length;
-  return spanOf(ahead / room(server));
+Span Admission::estimatedWait(const Server& server) const {
+  double ahead = server.meanRunSeconds;
+  for (const AskNo no : server.waiting) ahead += jobs_.at(no).expectedSeconds;
+  return toSpan(ahead / capacityOf(server));
 }
 
-double Admission::lengthOf(const ForwardRequest& ask) const {
-  const auto known = lengths_.find(ask.route);
-  if (known != lengths_.end()) return known->second;
-  return std::max(0.01, std::chrono::duration<double>(ask.aim).count() * kUnseenPart);
+double Admission::expectedSeconds(const ForwardRequest& request) const {
+  const auto known = meanSecondsByRoute_.find(request.route);
+  if (known != meanSecondsByRoute_.end()) return known->second;
+  return std::max(0.01, std::chrono::duration<double>(request.aim).count() * kUnknownRouteShare);
 }
 
-ForwardReply Admission::toldOf(Span now, Verdict verdict, const Server* server) const {
-  ForwardReply told;
-  told.verdict = verdict;
+ForwardReply Admission::replyFor(Span now, Verdict verdict, const Server* server) const {
+  ForwardReply reply;
+  reply.verdict = verdict;
   if (server != nullptr) {
-    told.load = Load{server->busy, static_cast<std::uint32_t>(server->waiting.size())};
-    told.wait = waitAhead(*server);
+    reply.load = Load{server->busy, static_cast<std::uint32_t>(server->waiting.size())};
+    reply.wait = estimatedWait(*server);
   }
-  if (verdict == Verdict::voteless) told.wait = claims_.comeBack(now);
-  return told;
+  if (verdict == Verdict::voteless) reply.wait = claims_.comeBack(now);
+  return reply;
 }
 
-AdmissionActions Admission::asked(Span now, AskNo no, const ForwardRequest& ask,
-                                  const std::optional<std::string>& key) {
-  AdmissionActions acts;
-  const auto answer = [&](ForwardReply told, std::shared_ptr<const void> bytes = nullptr) {
-    AdmissionAction act{AdmissionAction::Kind::answer, no};
-    act.told = std::move(told);
-    act.bytes = std::move(bytes);
-    acts.push_back(std::move(act));
+AdmissionActions Admission::handleRequest(Span now, AskNo no, const ForwardRequest& request,
+                                          const std::optional<std::string>& key) {
+  AdmissionActions actions;
+  const auto answer = [&](ForwardReply reply, std::shared_ptr<const void> bytes = nullptr) {
+    AdmissionAction action{AdmissionAction::Kind::answer, no};
+    action.reply = std::move(reply);
+    action.bytes = std::move(bytes);
+    actions.push_back(std::move(action));
   };
-  const auto found = servers_.find(ask.instance);
-  const Server* here = found == servers_.end() ? nullptr : &found->second;
-  std::optional<KeyPrint> print;
+  const auto found = servers_.find(request.instance);
+  const Server* known = found == servers_.end() ? nullptr : &found->second;
+  std::optional<KeyPrint> keyHash;
   if (key) {
-    print = printOfKey(*key);
-    const auto past = operations_.find(*print);
-    if (past != operations_.end()) {
-      ForwardReply told = toldOf(now, Verdict::ran, here);
-      told.repeated = true;
-      switch (past->second.past) {
-        case Past::answered:
-          answer(told, past->second.bytes);
-          return acts;
-        case Past::unknown:
-          told.verdict = Verdict::unknown;
-          answer(told);
-          return acts;
-        case Past::working:
-          past->second.waiters.emplace_back(no, now + ask.left - tellBack(ask.left));
-          awaited_.insert(*print);
-          return acts;
+    keyHash = printOfKey(*key);
+    const auto operation = operations_.find(*keyHash);
+    if (operation != operations_.end()) {
+      ForwardReply reply = replyFor(now, Verdict::ran, known);
+      reply.repeated = true;
+      switch (operation->second.state) {
+        case OperationState::answered:
+          answer(reply, operation->second.bytes);
+          return actions;
+        case OperationState::unknown:
+          reply.verdict = Verdict::unknown;
+          answer(reply);
+          return actions;
+        case OperationState::running:
+          operation->second.waiters.emplace_back(no, now + request.left - replyMargin(request.left));
+          awaitedOperations_.insert(*keyHash);
+          return actions;
       }
     }
-    if (ask.holder) {
-      // The claim it asks after: of this life it was given back, of an earlier one nobody knows.
-      ForwardReply told =
-          toldOf(now, *ask.holder == built_.life ? Verdict::voteless : Verdict::unknown, here);
-      answer(told);
-      return acts;
+    if (request.holder) {
+      // A claim of this life was released; the outcome of one of an earlier life is unknown.
+      ForwardReply reply =
+          replyFor(now, *request.holder == config_.life ? Verdict::voteless : Verdict::unknown, known);
+      answer(reply);
+      return actions;
     }
   }
-  if (here == nullptr || here->told.service != ask.service) {
-    answer(toldOf(now, Verdict::strange, nullptr));
-    return acts;
+  if (known == nullptr || known->announced.service != request.service) {
+    answer(replyFor(now, Verdict::strange, nullptr));
+    return actions;
   }
   Server& server = found->second;
-  if (!open(now, server)) {
-    answer(toldOf(now, Verdict::leaving, &server));
-    return acts;
+  if (!isOpen(now, server)) {
+    answer(replyFor(now, Verdict::leaving, &server));
+    return actions;
   }
-  if (print && !claims_.hopeful(now)) {
-    answer(toldOf(now, Verdict::voteless, &server));
-    return acts;
+  if (keyHash && !claims_.hopeful(now)) {
+    answer(replyFor(now, Verdict::voteless, &server));
+    return actions;
   }
-  if (ask.left < kLeastLeft) {
-    answer(toldOf(now, Verdict::full, &server));
-    return acts;
+  if (request.left < kMinTimeLeft) {
+    answer(replyFor(now, Verdict::full, &server));
+    return actions;
   }
   Job job;
   job.no = no;
-  job.ask = ask;
-  job.deadline = now + ask.left;
-  job.key = print;
-  const Span patience =
-      std::min(ask.left - tellBack(ask.left),
-               std::max<Span>(kLeastWait, std::chrono::duration_cast<Span>(ask.aim * kWaitPart)));
-  job.startBy = now + patience;
-  job.length = lengthOf(ask);
-  // What is worth most for the time that it holds a slot goes first (Smith's rule): quick checks that other
-  // work waits for are not starved by long look-ups of the same rank. The rank's worth falls as its inverse.
-  const bool late = std::chrono::duration<double>(ask.aim).count() < job.length;
-  job.value = (late ? kLateValue : 1) / (1.0 + ask.priority) / std::max(job.length, 0.001);
-  if (print) {
+  job.request = request;
+  job.deadline = now + request.left;
+  job.key = keyHash;
+  const Span maxWait =
+      std::min(request.left - replyMargin(request.left),
+               std::max<Span>(kMinWait, std::chrono::duration_cast<Span>(request.aim * kMaxWaitShare)));
+  job.startBy = now + maxWait;
+  job.expectedSeconds = expectedSeconds(request);
+  // Smith's rule: the highest value per second of slot time goes first, so long requests don't starve short
+  // ones of the same priority. A request's value falls as the inverse of its priority number.
+  const bool late = std::chrono::duration<double>(request.aim).count() < job.expectedSeconds;
+  job.valuePerSecond =
+      (late ? kLateValueFactor : 1) / (1.0 + request.priority) / std::max(job.expectedSeconds, 0.001);
+  if (keyHash) {
     Operation operation;
     operation.by = no;
     operation.at = now;
-    operations_.emplace(*print, std::move(operation));
+    operations_.emplace(*keyHash, std::move(operation));
   }
-  Job& kept = jobs_.emplace(no, std::move(job)).first->second;
-  if (!fits(now, kept, server)) {
-    refuse(now, no, Verdict::full, &server, acts);
-  } else if (print) {
-    claim(now, kept, acts);
+  Job& added = jobs_.emplace(no, std::move(job)).first->second;
+  if (!canStartInTime(now, added, server)) {
+    refuse(now, no, Verdict::full, &server, actions);
+  } else if (keyHash) {
+    openClaim(now, added, actions);
   } else {
-    admit(now, kept, server, acts);
+    startOrEnqueue(now, added, server, actions);
   }
-  check();
-  return acts;
+  checkInvariants();
+  return actions;
 }
 
-// Whether it would be started in time, as things stand; asked before anything is spent on it.
-bool Admission::fits(Span now, const Job& job, const Server& server) const {
-  if (server.busy < room(server) && server.waiting.empty()) return true;
-  double ahead = server.meanRun;
+// Whether the request would start before its limit, given the current queue.
+bool Admission::canStartInTime(Span now, const Job& job, const Server& server) const {
+  if (server.busy < capacityOf(server) && server.waiting.empty()) return true;
+  double ahead = server.meanRunSeconds;
   for (const AskNo other : server.waiting) {
-    if (jobs_.at(other).value < job.value) break;
-    ahead += jobs_.at(other).length;
+    if (jobs_.at(other).valuePerSecond < job.valuePerSecond) break;
+    ahead += jobs_.at(other).expectedSeconds;
   }
-  return now + spanOf(ahead / room(server)) <= job.startBy;
+  return now + toSpan(ahead / capacityOf(server)) <= job.startBy;
 }
 
-// To the server at once, or to its place among those that wait.
-void Admission::admit(Span now, Job& job, Server& server, AdmissionActions& acts) {
-  if (server.busy < room(server) && server.waiting.empty()) {
+// Starts the request if a slot is free; otherwise queues it by value per second.
+void Admission::startOrEnqueue(Span now, Job& job, Server& server, AdmissionActions& actions) {
+  if (server.busy < capacityOf(server) && server.waiting.empty()) {
     ++server.busy;
-    return run(now, job, server, acts);
+    return start(now, job, server, actions);
   }
   job.stage = Stage::waiting;
-  const auto place = std::find_if(server.waiting.begin(), server.waiting.end(),
-                                  [&](AskNo other) { return jobs_.at(other).value < job.value; });
+  const auto place = std::find_if(server.waiting.begin(), server.waiting.end(), [&](AskNo other) {
+    return jobs_.at(other).valuePerSecond < job.valuePerSecond;
+  });
   server.waiting.insert(place, job.no);
-  // Whoever cannot be started in time, seen from its place, goes at once and not when its time is over.
-  double ahead = server.meanRun;
-  std::vector<AskNo> tooLate;
+  // Refuses queued requests that can't start in time any more right away, rather than at their limit.
+  double ahead = server.meanRunSeconds;
+  std::vector<AskNo> expired;
   for (const AskNo waiting : server.waiting) {
     const Job& other = jobs_.at(waiting);
-    if (now + spanOf(ahead / room(server)) > other.startBy) {
-      tooLate.push_back(waiting);
+    if (now + toSpan(ahead / capacityOf(server)) > other.startBy) {
+      expired.push_back(waiting);
     } else {
-      ahead += other.length;
+      ahead += other.expectedSeconds;
     }
   }
-  for (const AskNo waiting : tooLate) refuse(now, waiting, Verdict::full, &server, acts);
+  for (const AskNo waiting : expired) refuse(now, waiting, Verdict::full, &server, actions);
 }
 
-// A job that surely never ran ends with a verdict that says so.
-void Admission::refuse(Span now, AskNo no, Verdict verdict, const Server* server, AdmissionActions& acts,
+// Ends a job that certainly did not run, with a verdict that says so.
+void Admission::refuse(Span now, AskNo no, Verdict verdict, const Server* server, AdmissionActions& actions,
                        std::optional<Holder> holder) {
   const auto found = jobs_.find(no);
   if (found == jobs_.end()) return;
   const Job job = found->second;
-  const auto at = servers_.find(job.ask.instance);
+  const auto at = servers_.find(job.request.instance);
   if (at != servers_.end()) {
     if (job.stage == Stage::waiting) {
       auto& waiting = at->second.waiting;
@@ -359,226 +374,235 @@
     }
   }
   if (job.key && job.claim.value > 0) {
-    AdmissionAction act{AdmissionAction::Kind::giveBack, no};
-    act.key = *job.key;
-    act.claim = job.claim;
-    acts.push_back(std::move(act));
-  }
-  AdmissionAction act{AdmissionAction::Kind::answer, no};
-  act.told = toldOf(now, verdict, server);
-  act.told.holder = std::move(holder);
-  acts.push_back(std::move(act));
+    AdmissionAction action{AdmissionAction::Kind::releaseClaim, no};
+    action.key = *job.key;
+    action.claim = job.claim;
+    actions.push_back(std::move(action));
+  }
+  AdmissionAction action{AdmissionAction::Kind::answer, no};
+  action.reply = replyFor(now, verdict, server);
+  action.reply.holder = std::move(holder);
+  actions.push_back(std::move(action));
   jobs_.erase(found);
-  if (job.key) forgetOperation(now, *job.key, acts);
+  if (job.key) forgetOperation(now, *job.key, actions);
 }
 
-// Without a slot: votes may take as long as a disk that hangs, and other work need not wait for them.
-void Admission::claim(Span now, Job& job, AdmissionActions& acts) {
+// Holds no slot while it waits for votes: these may be delayed by a slow disk.
+void Admission::openClaim(Span now, Job& job, AdmissionActions& actions) {
   job.stage = Stage::claiming;
-  job.claim = claims_.open(now, *job.key, std::min(now + kClaimTime, job.deadline - kLeastLeft));
+  job.claim = claims_.open(now, *job.key, std::min(now + kClaimTimeout, job.deadline - kMinTimeLeft));
   operations_.at(*job.key).claim = job.claim;
-  claiming_[job.claim] = job.no;
-  AdmissionAction act{AdmissionAction::Kind::claim, job.no};
-  act.key = *job.key;
-  act.claim = job.claim;
-  acts.push_back(std::move(act));
+  jobsByClaim_[job.claim] = job.no;
+  AdmissionAction action{AdmissionAction::Kind::claim, job.no};
+  action.key = *job.key;
+  action.claim = job.claim;
+  actions.push_back(std::move(action));
 }
 
-void Admission::run(Span now, Job& job, Server& server, AdmissionActions& acts) {
+void Admission::start(Span now, Job& job, Server& server, AdmissionActions& actions) {
   job.stage = Stage::running;
   job.startedAt = now;
-  AdmissionAction act{AdmissionAction::Kind::run, job.no};
-  act.server = server.address;
-  act.instance = job.ask.instance;
-  act.caller = job.ask.caller;
-  act.left = job.deadline - now;
-  acts.push_back(std::move(act));
+  AdmissionAction action{AdmissionAction::Kind::run, job.no};
+  action.server = server.address;
+  action.instance = job.request.instance;
+  action.caller = job.request.caller;
+  action.left = job.deadline - now;
+  actions.push_back(std::move(action));
 }
 
 AdmissionActions Admission::claimEnded(Span now, const Claims::Ended& ended) {
-  AdmissionActions acts;
-  const auto found = claiming_.find(ended.no);
-  if (found == claiming_.end()) return acts;
+  AdmissionActions actions;
+  const auto found = jobsByClaim_.find(ended.no);
+  if (found == jobsByClaim_.end()) return actions;
   const AskNo no = found->second;
-  claiming_.erase(found);
+  jobsByClaim_.erase(found);
   Job& job = jobs_.at(no);
-  const auto at = servers_.find(job.ask.instance);
+  const auto at = servers_.find(job.request.instance);
   Server* server = at == servers_.end() ? nullptr : &at->second;
-  const bool stillOpen = server != nullptr && open(now, *server) && job.deadline - now >= kLeastLeft;
+  const bool stillOpen = server != nullptr && isOpen(now, *server) && job.deadline - now >= kMinTimeLeft;
   if (ended.won && stillOpen) {
-    admit(now, job, *server, acts);
+    startOrEnqueue(now, job, *server, actions);
   } else {
-    // It never ran here and never will: whatever was promised to it is given back.
+    // The request did not run here and never will, so its claim is released.
     const Verdict verdict = ended.won ? Verdict::leaving : ended.holder ? Verdict::held : Verdict::voteless;
-    refuse(now, no, verdict, server, acts, ended.won ? std::nullopt : ended.holder);
+    refuse(now, no, verdict, server, actions, ended.won ? std::nullopt : ended.holder);
   }
-  check();
-  return acts;
+  checkInvariants();
+  return actions;
 }
 
-AdmissionActions Admission::ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer) {
-  AdmissionActions acts;
+AdmissionActions Admission::executionEnded(Span now, AskNo no, ExecutionResult how,
+                                           const ServerAnswer& answer) {
+  AdmissionActions actions;
   const auto found = jobs_.find(no);
-  if (found == jobs_.end()) return acts;
+  if (found == jobs_.end()) return actions;
   const Job job = found->second;
-  const auto at = servers_.find(job.ask.instance);
+  const auto at = servers_.find(job.request.instance);
   Server* server = at == servers_.end() ? nullptr : &at->second;
-  const bool sure = how == AtServer::notSent || (how == AtServer::answered && answer.notRun);
-  if (sure) {
-    refuse(now, no, how == AtServer::notSent ? Verdict::unreachable : Verdict::turnedAway, server, acts);
-    // Another server answered: the one that was meant is no more.
-    if (server != nullptr && how == AtServer::answered && answer.status == kNotThatServer)
-      over(now, *server, acts);
+  const bool surelyNotRun =
+      how == ExecutionResult::notSent || (how == ExecutionResult::answered && answer.notRun);
+  if (surelyNotRun) {
+    refuse(now, no, how == ExecutionResult::notSent ? Verdict::unreachable : Verdict::turnedAway, server,
+           actions);
+    // 421: another server listens at the address, so the intended one has ended.
+    if (server != nullptr && how == ExecutionResult::answered && answer.status == kMisdirectedRequest)
+      markReplaced(now, *server, actions);
   } else {
     jobs_.erase(found);
     if (server != nullptr) {
       --server->busy;
       const double seconds = std::chrono::duration<double>(now - job.startedAt).count();
-      server->meanRun += kRunShare * (seconds - server->meanRun);
-      double& length = lengths_.try_emplace(job.ask.route, seconds).first->second;
-      length += kRunShare * (seconds - length);
+      server->meanRunSeconds += kMeanWeight * (seconds - server->meanRunSeconds);
+      double& mean = meanSecondsByRoute_.try_emplace(job.request.route, seconds).first->second;
+      mean += kMeanWeight * (seconds - mean);
     }
-    AdmissionAction act{AdmissionAction::Kind::answer, no};
-    act.told = toldOf(now, how == AtServer::answered ? Verdict::ran : Verdict::unknown, server);
-    act.bytes = how == AtServer::answered ? answer.bytes : nullptr;
-    act.size = how == AtServer::answered ? answer.size : 0;
-    acts.push_back(std::move(act));
+    AdmissionAction action{AdmissionAction::Kind::answer, no};
+    action.reply = replyFor(now, how == ExecutionResult::answered ? Verdict::ran : Verdict::unknown, server);
+    action.bytes = how == ExecutionResult::answered ? answer.bytes : nullptr;
+    action.size = how == ExecutionResult::answered ? answer.size : 0;
+    actions.push_back(std::move(action));
     if (job.key)
-      endOperation(now, *job.key, how == AtServer::answered ? Past::answered : Past::unknown, answer, acts);
+      endOperation(now, *job.key,
+                   how == ExecutionResult::answered ? OperationState::answered : OperationState::unknown,
+                   answer, actions);
   }
-  if (server != nullptr) next(now, *server, acts);
-  check();
-  return acts;
+  if (server != nullptr) startWaiting(now, *server, actions);
+  checkInvariants();
+  return actions;
 }
 
-// Guards against servers that work, and room that is held, for nobody.
+// Frees slots and cancels work for callers that have disconnected.
 AdmissionActions Admission::abandoned(Span now, AskNo no) {
-  AdmissionActions acts;
+  AdmissionActions actions;
   const auto found = jobs_.find(no);
-  if (found == jobs_.end() || found->second.key) return acts;
+  if (found == jobs_.end() || found->second.key) return actions;
   const Job& job = found->second;
-  const auto at = servers_.find(job.ask.instance);
+  const auto at = servers_.find(job.request.instance);
   Server* server = at == servers_.end() ? nullptr : &at->second;
   if (job.stage == Stage::waiting) {
-    refuse(now, no, Verdict::full, server, acts);
-  } else if (job.ask.kind == RouteKind::pure) {
-    acts.push_back({AdmissionAction::Kind::cancel, no});
-    AdmissionAction act{AdmissionAction::Kind::answer, no};
-    act.told = toldOf(now, Verdict::unknown, server);
-    acts.push_back(std::move(act));
+    refuse(now, no, Verdict::full, server, actions);
+  } else if (job.request.kind == RouteKind::pure) {
+    actions.push_back({AdmissionAction::Kind::cancel, no});
+    AdmissionAction action{AdmissionAction::Kind::answer, no};
+    action.reply = replyFor(now, Verdict::unknown, server);
+    actions.push_back(std::move(action));
     jobs_.erase(found);
     if (server != nullptr) {
       --server->busy;
-      next(now, *server, acts);
+      startWaiting(now, *server, actions);
     }
   }
-  check();
-  return acts;
+  checkInvariants();
+  return actions;
 }
 
-void Admission::endOperation(Span now, const KeyPrint& key, Past past, const ServerAnswer& answer,
-                             AdmissionActions& acts) {
+void Admission::endOperation(Span now, const KeyPrint& key, OperationState state, const ServerAnswer& answer,
+                             AdmissionActions& actions) {
   Operation& operation = operations_.at(key);
-  operation.past = past;
+  operation.state = state;
   operation.at = now;
-  if (past == Past::answered) {
+  if (state == OperationState::answered) {
     operation.bytes = answer.bytes;
     operation.size = answer.size;
-    kept_ += answer.size;
+    cachedBytes_ += answer.size;
   }
   for (const auto& [no, until] : std::exchange(operation.waiters, {})) {
-    AdmissionAction act{AdmissionAction::Kind::answer, no};
-    act.told = toldOf(now, past == Past::answered ? Verdict::ran : Verdict::unknown, nullptr);
-    act.told.repeated = true;
-    act.bytes = operation.bytes;
-    acts.push_back(std::move(act));
-  }
-  ended_.emplace_back(now, key);
-  // Guards against answers that eat the memory: the oldest go first, and their repeats are told that nobody
-  // knows.
-  for (auto old = ended_.begin(); kept_ > built_.mostKept && old != ended_.end(); ++old) {
+    AdmissionAction action{AdmissionAction::Kind::answer, no};
+    action.reply =
+        replyFor(now, state == OperationState::answered ? Verdict::ran : Verdict::unknown, nullptr);
+    action.reply.repeated = true;
+    action.bytes = operation.bytes;
+    actions.push_back(std::move(action));
+  }
+  endedOperations_.emplace_back(now, key);
+  // Bounds the memory of cached answers: drops the oldest ones, whose repeats get the outcome `unknown`.
+  for (auto old = endedOperations_.begin();
+       cachedBytes_ > config_.maxCachedBytes && old != endedOperations_.end(); ++old) {
     const auto found = operations_.find(old->second);
-    if (found == operations_.end() || found->second.past != Past::answered) continue;
-    kept_ -= found->second.size;
-    found->second.past = Past::unknown;
+    if (found == operations_.end() || found->second.state != OperationState::answered) continue;
+    cachedBytes_ -= found->second.size;
+    found->second.state = OperationState::unknown;
     found->second.bytes.reset();
     found->second.size = 0;
   }
 }
 
-void Admission::forgetOperation(Span now, const KeyPrint& key, AdmissionActions& acts) {
+void Admission::forgetOperation(Span now, const KeyPrint& key, AdmissionActions& actions) {
   const auto found = operations_.find(key);
   if (found == operations_.end()) return;
   for (const auto& [no, until] : found->second.waiters) {
-    AdmissionAction act{AdmissionAction::Kind::answer, no};
-    act.told = toldOf(now, Verdict::voteless, nullptr);
-    acts.push_back(std::move(act));
+    AdmissionAction action{AdmissionAction::Kind::answer, no};
+    action.reply = replyFor(now, Verdict::voteless, nullptr);
+    actions.push_back(std::move(action));
   }
   operations_.erase(found);
 }
 
-void Admission::next(Span now, Server& server, AdmissionActions& acts) {
-  while (server.busy < room(server) && !server.waiting.empty()) {
+void Admission::startWaiting(Span now, Server& server, AdmissionActions& actions) {
+  while (server.busy < capacityOf(server) && !server.waiting.empty()) {
     const AskNo no = server.waiting.front();
     Job& job = jobs_.at(no);
-    if (!open(now, server) || job.deadline - now < kLeastLeft) {
-      refuse(now, no, Verdict::leaving, &server, acts);
+    if (!isOpen(now, server) || job.deadline - now < kMinTimeLeft) {
+      refuse(now, no, Verdict::leaving, &server, actions);
       continue;
     }
     server.waiting.pop_front();
     ++server.busy;
-    run(now, job, server, acts);
+    start(now, job, server, actions);
   }
 }
 
 AdmissionActions Admission::tick(Span now) {
-  AdmissionActions acts;
+  AdmissionActions actions;
   for (const Claims::Ended& ended : claims_.expire(now)) {
     const AdmissionActions more = claimEnded(now, ended);
-    acts.insert(acts.end(), more.begin(), more.end());
+    actions.insert(actions.end(), more.begin(), more.end());
   }
   for (auto& [id, server] : servers_) {
     const std::deque<AskNo> waiting = server.waiting;
     for (const AskNo no : waiting) {
-      const Verdict verdict = open(now, server) ? Verdict::full : Verdict::leaving;
-      if (verdict == Verdict::leaving || jobs_.at(no).startBy <= now) refuse(now, no, verdict, &server, acts);
+      const Verdict verdict = isOpen(now, server) ? Verdict::full : Verdict::leaving;
+      if (verdict == Verdict::leaving || jobs_.at(no).startBy <= now)
+        refuse(now, no, verdict, &server, actions);
     }
   }
-  for (auto at = awaited_.begin(); at != awaited_.end();) {
+  for (auto at = awaitedOperations_.begin(); at != awaitedOperations_.end();) {
     const auto found = operations_.find(*at);
     if (found == operations_.end() || found->second.waiters.empty()) {
-      at = awaited_.erase(at);
+      at = awaitedOperations_.erase(at);
       continue;
     }
     ++at;
     auto& waiters = found->second.waiters;
     for (const auto& [no, until] : waiters) {
       if (until > now) continue;
-      AdmissionAction act{AdmissionAction::Kind::answer, no};
-      act.told = toldOf(now, Verdict::atWork, nullptr);
-      acts.push_back(std::move(act));
+      AdmissionAction action{AdmissionAction::Kind::answer, no};
+      action.reply = replyFor(now, Verdict::atWork, nullptr);
+      actions.push_back(std::move(action));
     }
     waiters.erase(
         std::remove_if(waiters.begin(), waiters.end(), [&](const auto& w) { return w.second <= now; }),
         waiters.end());
   }
-  while (!ended_.empty() && ended_.front().first + built_.keyWindow + kNoteSpare <= now) {
-    const auto found = operations_.find(ended_.front().second);
-    if (found != operations_.end() && found->second.past != Past::working &&
-        found->second.at <= ended_.front().first) {
-      kept_ -= found->second.size;
+  while (!endedOperations_.empty() &&
+         endedOperations_.front().first + config_.keyWindow + kOperationRetentionMargin <= now) {
+    const auto found = operations_.find(endedOperations_.front().second);
+    if (found != operations_.end() && found->second.state != OperationState::running &&
+        found->second.at <= endedOperations_.front().first) {
+      cachedBytes_ -= found->second.size;
       operations_.erase(found);
     }
-    ended_.pop_front();
+    endedOperations_.pop_front();
   }
   for (auto at = servers_.begin(); at != servers_.end();) {
     const Server& server = at->second;
-    const bool over = server.lastBeat + kNoServerFor < now && server.busy == 0 && server.waiting.empty();
+    const bool over =
+        server.lastHeartbeat + kServerExpiry < now && server.busy == 0 && server.waiting.empty();
     at = over ? servers_.erase(at) : std::next(at);
   }
-  // Guards against routes that come and go without end: what is known of their lengths is soon known anew.
-  if (lengths_.size() > kMostLengths) lengths_.clear();
-  return acts;
+  // Bounds the table as routes come and go; the means are soon learned again.
+  if (meanSecondsByRoute_.size() > kMaxRouteMeans) meanSecondsByRoute_.clear();
+  return actions;
 }
 
 std::optional<Span> Admission::nextTick() const {
@@ -587,7 +611,7 @@
   for (const auto& [id, server] : servers_) {
     for (const AskNo no : server.waiting) earlier(jobs_.at(no).startBy);
   }
-  for (const KeyPrint& key : awaited_) {
+  for (const KeyPrint& key : awaitedOperations_) {
     const auto found = operations_.find(key);
     if (found == operations_.end()) continue;
     for (const auto& waiter : found->second.waiters) earlier(waiter.second);
@@ -597,27 +621,27 @@
 
 AdmissionActions Admission::leave(Span now) {
   leaving_ = true;
-  AdmissionActions acts = tick(now);
+  AdmissionActions actions = tick(now);
   for (auto& [id, server] : servers_) {
-    server.told.leaving = true;
-    tell(server, acts);
+    server.announced.leaving = true;
+    announce(server, actions);
   }
-  return acts;
+  return actions;
 }
 
 std::vector<Served> Admission::servers() const {
   std::vector<Served> all;
-  for (const auto& [id, server] : servers_) all.push_back(server.told);
+  for (const auto& [id, server] : servers_) all.push_back(server.announced);
   return all;
 }
 
-void Admission::check() const {
+void Admission::checkInvariants() const {
 #ifndef NDEBUG
   for (const auto& [id, server] : servers_) {
-    assert(server.busy <= room(server));
+    assert(server.busy <= capacityOf(server));
     std::size_t busy = 0;
     for (const auto& [no, job] : jobs_) {
-      if (job.ask.instance == id && job.stage == Stage::running) ++busy;
+      if (job.request.instance == id && job.stage == Stage::running) ++busy;
     }
     assert(busy == server.busy);
   }
--- a/src/mesh/admission/admission.hpp
+++ b/src/mesh/admission/admission.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-// Admission to a server, by the process on its machine. It knows which servers live here and what they
-// say of themselves, how many requests each is working on, and which operations ran here. It owns all of
-// that; it takes inputs and returns what to send, claim and answer, with no I/O and no clock. It must never
-// let a request to a server that is another, gone, or drains for too long; never run a key without a won
-// claim; and never say that something has not run when it may have.
+// Admission control for the servers on one machine, in the data-plane process beside them. It owns the state
+// of the local servers, the requests that are queued or in flight at them, and the operations that ran here.
+// A state machine without I/O or clock: inputs return the actions to take. Invariants: a request never
+// reaches a server that is another instance, has signed off or has drained for too long; a keyed request runs
+// only with a won claim; and a request that may have run is never reported as not run.
 
 #include <cstdint>
 #include <deque>
@@ -22,172 +22,169 @@
 
 namespace rackroute::mesh {
 
-/// What a server says in a beat, or with its sign-off.
-struct Beat {
+/// A server's periodic heartbeat, or its sign-off.
+struct ServerHeartbeat {
   InstanceId id;
   ServiceName service;
   Address address;
   std::string zone;
   std::uint32_t capacity = 1;
   bool draining = false;
-  bool gone = false;
-  Span coldLeft{};
+  bool gone = false;  // the server signs off
+  Span coldLeft{};    // remaining warm-up time
   std::uint64_t seq = 0;
 };
 
-/// How an execution at a server here ended.
-enum class AtServer { answered, notSent, broken, timedOut, spoilt };
+/// How an execution at a local server ended.
+enum class ExecutionResult { answered, notSent, connectionLost, timedOut, malformed };
 
-/// A server's answer, as much of it as decides anything; the bytes are kept by whoever reads them.
+/// The parts of a server's answer that affect decisions; the reader of the connection owns the bytes.
 struct ServerAnswer {
   std::uint32_t status = 0;
-  bool notRun = false;  // it says so
+  bool notRun = false;  // the server states that it did not run the request
   std::shared_ptr<const void> bytes;
   std::size_t size = 0;
 };
 
-/// What is to be done. Which fields matter goes by the kind.
+/// An action for the caller to take. The comments name the kinds that use each field.
 struct AdmissionAction {
-  enum class Kind { run, answer, claim, giveBack, tell, cancel };
+  enum class Kind { run, answer, claim, releaseClaim, announce, cancel };
   Kind kind = Kind::run;
-  AskNo ask;
+  AskNo request;
   Address server{};                     // run
   InstanceId instance{};                // run
   ServiceName caller{};                 // run
-  Span left{};                          // run: until its client gives up
-  ForwardReply told{};                  // answer
-  std::shared_ptr<const void> bytes{};  // answer: the server's, if there is one
-  std::size_t size = 0;                 // answer: of the bytes, as memory
-  KeyPrint key{};                       // claim, giveBack
-  ClaimNo claim{};                      // claim, giveBack
-  Served served{};                      // tell
+  Span left{};                          // run: time until the client's deadline
+  ForwardReply reply{};                 // answer
+  std::shared_ptr<const void> bytes{};  // answer: the server's answer, if there is one
+  std::size_t size = 0;                 // answer: memory held by the bytes
+  KeyPrint key{};                       // claim, releaseClaim
+  ClaimNo claim{};                      // claim, releaseClaim
+  Served served{};                      // announce
 };
 using AdmissionActions = std::vector<AdmissionAction>;
 
 class Admission {
  public:
-  struct Built {
+  struct Config {
     NodeName node;
     Address at;
     std::string zone;
     LifeNo life;
-    ServiceName service;  // of the server on this machine, as the settings tell
-    Address server;       // where it listens, as they tell; empty: only its beats tell
+    ServiceName service;  // of the server on this machine, from the settings
+    Address server;       // its listen address, from the settings; empty: known from heartbeats only
     Span drain{};
     Span keyWindow{};
-    std::size_t mostKept = 0;  // bytes of answers that are kept for repeats
+    std::size_t maxCachedBytes = 0;  // of answers cached for repeats
   };
-  explicit Admission(Built built);
+  explicit Admission(Config config);
 
-  AdmissionActions beat(Span now, const Beat& beat);
-  /// What others know of a server here from an earlier life of this process. That it is ready counts until
-  /// the first beat, and that it leaves for good.
+  AdmissionActions heartbeat(Span now, const ServerHeartbeat& heartbeat);
+  /// Takes over what other processes know of a local server from an earlier life of this process: until the
+  /// first heartbeat that it is ready, and permanently that it drains or has signed off.
   AdmissionActions adopt(Span now, const Served& served);
-  /// The highest life that a control process knows of this node. Its news of servers goes on in the life
-  /// after that one, if it is no older than this process's: the clock that counts lives was stepped back
-  /// since, and all news of this life would be taken for old. All servers are told of anew then. The life in
-  /// holders of claims stays as it was: there it only tells one life from another.
-  AdmissionActions followLife(LifeNo highest);
-  /// A request from another process; key: of its operation, if its route is keyed.
-  AdmissionActions asked(Span now, AskNo no, const ForwardRequest& ask,
-                         const std::optional<std::string>& key);
+  /// Handles a control process's highest known life of this node. If it is not older than this process's
+  /// (the clock was stepped back), announcements continue in the life after it, as they would be dropped as
+  /// outdated otherwise, and all servers are announced again. Holders of claims keep the original life.
+  AdmissionActions continueAfterLife(LifeNo highest);
+  /// A request forwarded by another process; key: its operation key, if its route is keyed.
+  AdmissionActions handleRequest(Span now, AskNo no, const ForwardRequest& request,
+                                 const std::optional<std::string>& key);
   AdmissionActions claimEnded(Span now, const Claims::Ended& ended);
-  AdmissionActions ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer);
-  /// The connection that the request came on has ended: its caller left, or the way broke. One that waits is
-  /// turned away; one at work is cancelled if it may be repeated; a keyed one goes on, as a repeat may want
-  /// its answer.
+  AdmissionActions executionEnded(Span now, AskNo no, ExecutionResult how, const ServerAnswer& answer);
+  /// The connection of a forwarded request has closed. A queued request is refused; a running one is
+  /// cancelled if it is pure; a keyed one continues, as a repeat may ask for its answer.
   AdmissionActions abandoned(Span now, AskNo no);
   AdmissionActions tick(Span now);
-  /// When tick() is to be called at the latest; none: whenever.
+  /// The latest time for the next tick(); none: no deadline is pending.
   [[nodiscard]] std::optional<Span> nextTick() const;
   Claims& claims() { return claims_; }
-  /// The process leaves: nothing new is let in.
+  /// Starts the shutdown of this process: no new request is admitted.
   AdmissionActions leave(Span now);
-  [[nodiscard]] LifeNo life() const { return built_.life; }
-  [[nodiscard]] std::size_t atWork() const { return jobs_.size(); }
+  [[nodiscard]] LifeNo life() const { return config_.life; }
+  [[nodiscard]] std::size_t inFlight() const { return jobs_.size(); }
   [[nodiscard]] std::vector<Served> servers() const;
-  [[nodiscard]] std::size_t kept() const { return kept_; }
+  [[nodiscard]] std::size_t cachedBytes() const { return cachedBytes_; }
 
  private:
   struct Server {
-    Served told;
+    Served announced;
     Address address;
-    std::uint64_t seq = 0;           // its own calls
-    Span drainsSince = Span::max();  // that far back, if it drained when it was first heard of here
+    std::uint64_t seq = 0;             // of its last heartbeat
+    Span drainingSince = Span::max();  // a full drain time ago, if it drained when first seen here
     Span coldUntil{};
     std::uint32_t busy = 0;
-    std::deque<AskNo> waiting;  // the most worth for a slot's time first, then as they came
-    double meanRun = 0.2;       // seconds
-    Span lastBeat{};
+    std::deque<AskNo> waiting;  // by value per second, then by arrival
+    double meanRunSeconds = 0.2;
+    Span lastHeartbeat{};
   };
   enum class Stage { claiming, waiting, running };
   struct Job {
     AskNo no;
-    ForwardRequest ask;
+    ForwardRequest request;
     Span deadline{};
     Span startBy{};
-    double length = 0;  // seconds that it is expected to hold a slot
-    double value = 0;   // worth for each second of it
+    double expectedSeconds = 0;  // of slot time
+    double valuePerSecond = 0;   // of slot time
     Span startedAt{};
     Stage stage = Stage::claiming;
     std::optional<KeyPrint> key;
     ClaimNo claim;
   };
-  enum class Past { working, answered, unknown };
+  enum class OperationState { running, answered, unknown };
   struct Operation {
-    Past past = Past::working;
+    OperationState state = OperationState::running;
     ClaimNo claim;
     AskNo by;
     std::shared_ptr<const void> bytes;
     std::size_t size = 0;
     Span at{};
-    std::vector<std::pair<AskNo, Span>> waiters;  // and when each gives up
+    std::vector<std::pair<AskNo, Span>> waiters;  // repeats, each with its time limit
   };
 
-  [[nodiscard]] bool fits(Span now, const Job& job, const Server& server) const;
-  void tell(Server& server, AdmissionActions& acts);
-  /// The entry of the server that calls; a new one, if it is not known here.
-  Server& entryFor(Span now, const Beat& beat);
-  void makePlace();
-  void depart(Span now, Server& server, bool draining, bool gone) const;
-  /// What others know of a server's leaving.
-  void learnDeparture(Span now, const Served& served, AdmissionActions& acts);
-  void over(Span now, Server& server, AdmissionActions& acts);
-  void turnAwayAll(Span now, Server& server, AdmissionActions& acts);
-  void admit(Span now, Job& job, Server& server, AdmissionActions& acts);
-  void claim(Span now, Job& job, AdmissionActions& acts);
-  void run(Span now, Job& job, Server& server, AdmissionActions& acts);
-  void next(Span now, Server& server, AdmissionActions& acts);
-  void refuse(Span now, AskNo no, Verdict verdict, const Server* server, AdmissionActions& acts,
+  [[nodiscard]] bool canStartInTime(Span now, const Job& job, const Server& server) const;
+  void announce(Server& server, AdmissionActions& actions);
+  Server& findOrAddServer(Span now, const ServerHeartbeat& heartbeat);
+  void evictIdleServer();
+  void markDeparture(Span now, Server& server, bool draining, bool gone) const;
+  /// Applies a departure that other processes know of.
+  void applyKnownDeparture(Span now, const Served& served, AdmissionActions& actions);
+  void markReplaced(Span now, Server& server, AdmissionActions& actions);
+  void refuseWaiting(Span now, Server& server, AdmissionActions& actions);
+  void startOrEnqueue(Span now, Job& job, Server& server, AdmissionActions& actions);
+  void openClaim(Span now, Job& job, AdmissionActions& actions);
+  void start(Span now, Job& job, Server& server, AdmissionActions& actions);
+  void startWaiting(Span now, Server& server, AdmissionActions& actions);
+  void refuse(Span now, AskNo no, Verdict verdict, const Server* server, AdmissionActions& actions,
               std::optional<Holder> holder = {});
-  void endOperation(Span now, const KeyPrint& key, Past past, const ServerAnswer& answer,
-                    AdmissionActions& acts);
-  void forgetOperation(Span now, const KeyPrint& key, AdmissionActions& acts);
-  void settle(Span now, AskNo no, AdmissionActions& acts);
-  [[nodiscard]] bool open(Span now, const Server& server) const;
-  [[nodiscard]] Span waitAhead(const Server& server) const;
-  [[nodiscard]] double lengthOf(const ForwardRequest& ask) const;
-  [[nodiscard]] ForwardReply toldOf(Span now, Verdict verdict, const Server* server) const;
-  [[nodiscard]] std::uint32_t room(const Server& server) const;
-  void check() const;
+  void endOperation(Span now, const KeyPrint& key, OperationState state, const ServerAnswer& answer,
+                    AdmissionActions& actions);
+  void forgetOperation(Span now, const KeyPrint& key, AdmissionActions& actions);
+  void settle(Span now, AskNo no, AdmissionActions& actions);
+  [[nodiscard]] bool isOpen(Span now, const Server& server) const;
+  [[nodiscard]] Span estimatedWait(const Server& server) const;
+  [[nodiscard]] double expectedSeconds(const ForwardRequest& request) const;
+  [[nodiscard]] ForwardReply replyFor(Span now, Verdict verdict, const Server* server) const;
+  [[nodiscard]] std::uint32_t capacityOf(const Server& server) const;
+  void checkInvariants() const;
 
-  Built built_;
+  Config config_;
   Claims claims_;
   std::map<InstanceId, Server> servers_;
-  std::map<InstanceId, Served> departed_;   // of this machine, as others tell; they have not called here
-  std::deque<InstanceId> departedInOrder_;  // as they became known
+  std::map<InstanceId, Served> departed_;  // reported by others; no heartbeat was received in this life
+  std::deque<InstanceId> departedOrder_;   // oldest first
   std::map<AskNo, Job> jobs_;
-  std::map<ClaimNo, AskNo> claiming_;
+  std::map<ClaimNo, AskNo> jobsByClaim_;
   std::unordered_map<KeyPrint, Operation, HashKeyPrint> operations_;
-  std::map<std::string, double> lengths_;        // seconds, by route
-  std::set<KeyPrint> awaited_;                   // operations at work that repeats may wait for
-  std::deque<std::pair<Span, KeyPrint>> ended_;  // operations, as they ended
-  std::size_t kept_ = 0;
-  std::uint64_t said_ = 0;
-  LifeNo newsLife_;        // in news of servers; built_.life but where an earlier life had a higher one
+  std::map<std::string, double> meanSecondsByRoute_;
+  std::set<KeyPrint> awaitedOperations_;                   // running, with repeats that may wait
+  std::deque<std::pair<Span, KeyPrint>> endedOperations_;  // oldest first
+  std::size_t cachedBytes_ = 0;
+  std::uint64_t lastSeq_ = 0;
+  LifeNo announcedLife_;   // config_.life, unless an earlier life had a higher number
   LifeNo supersededLife_;  // that earlier life; 0: none
-  std::pair<LifeNo, std::uint64_t> adopted_{};  // what was told of it last, before this life
-  bool beaten_ = false;                         // a server has called here in this life
+  std::pair<LifeNo, std::uint64_t> adoptedVersion_{};  // of the last announcement that was adopted
+  bool heartbeatSeen_ = false;                         // in this life
   bool leaving_ = false;
 };
 
--- a/src/mesh/checker/explain.cpp
+++ b/src/mesh/checker/explain.cpp
@@ -27,126 +27,128 @@
 std::string targetsOf(const Item& route) {
   if (route.value.contains("target")) return route.value["target"].get<std::string>();
   std::string text;
-  for (const json& part : route.value["weighted"]) {
+  for (const json& entry : route.value["weighted"]) {
     if (!text.empty()) text += ", ";
-    text += part["target"].get<std::string>() + " (" + part["weight"].dump() + ')';
+    text += entry["target"].get<std::string>() + " (" + entry["weight"].dump() + ')';
   }
   return text;
 }
 
 }  // namespace
 
-Result<std::vector<Item>> readPlan(std::string_view text) {
-  const json whole = json::parse(text, nullptr, false);
-  const bool bare =
-      whole.is_object() && !whole.contains("upsert") && !whole.contains("remove") && !whole.empty();
-  return bare ? readChange(json{{"upsert", whole}}.dump()) : readChange(text);
+Result<std::vector<Item>> parseConfiguration(std::string_view text) {
+  const json parsed = json::parse(text, nullptr, false);
+  const bool isItems =
+      parsed.is_object() && !parsed.contains("upsert") && !parsed.contains("remove") && !parsed.empty();
+  return isItems ? parseChange(json{{"upsert", parsed}}.dump()) : parseChange(text);
 }
 
-std::vector<Remark> remarksOn(const Items& items) {
-  std::vector<Remark> remarks;
-  std::map<std::pair<std::string, std::string>, std::string> places;
+std::vector<Finding> findIssues(const Items& items) {
+  std::vector<Finding> findings;
+  std::map<std::pair<std::string, std::string>, std::string> paths;
   for (const auto& [key, item] : items.all()) {
     if (item.dropped || key.kind != ItemKind::route) continue;
-    const auto [place, first] = places.try_emplace({item.hostname, prefixOf(item)}, key.name);
-    if (!first)
-      remarks.push_back(
-          {Weighs::doubtful, textOf(key),
-           "stands at the place of " + place->second + ": the newer version of the two is taken"});
+    const auto [path, inserted] = paths.try_emplace({item.hostname, prefixOf(item)}, key.name);
+    if (!inserted)
+      findings.push_back(
+          {Severity::warning, textOf(key),
+           "has the same host and path_prefix as " + path->second + ": the newer version is used"});
     if (prefixOf(item).back() != '/')
-      remarks.push_back(
-          {Weighs::doubtful, textOf(key), "path_prefix does not end with a slash and takes nothing"});
-    const auto timeout = readSpan(item.value["timeout"].get<std::string>());
-    const auto aim = readSpan(item.value.value("target_time", std::string("0ms")));
-    if (timeout && aim && *timeout < *aim)
-      remarks.push_back({Weighs::doubtful, textOf(key),
-                         "timeout " + writeSpan(*timeout) + " is shorter than target_time " +
-                             writeSpan(*aim) + ": no answer can be worth its full worth late"});
+      findings.push_back(
+          {Severity::warning, textOf(key), "path_prefix does not end with a slash and matches nothing"});
+    const auto timeout = parseDuration(item.value["timeout"].get<std::string>());
+    const auto targetTime = parseDuration(item.value.value("target_time", std::string("0ms")));
+    if (timeout && targetTime && *timeout < *targetTime)
+      findings.push_back({Severity::warning, textOf(key),
+                          "timeout " + formatDuration(*timeout) + " is shorter than target_time " +
+                              formatDuration(*targetTime) + ": requests time out before their target time"});
     for (const std::string& service : servicesOf(item)) {
-      const Item* held = items.find({ItemKind::service, service});
-      if (held == nullptr || held->dropped)
-        remarks.push_back({Weighs::wrong, textOf(key), "names the unknown service " + service});
+      const Item* current = items.find({ItemKind::service, service});
+      if (current == nullptr || current->dropped)
+        findings.push_back({Severity::error, textOf(key), "refers to the unknown service " + service});
     }
   }
   for (const auto& [service, routes] : routesByService(items)) {
-    if (routes == 0) remarks.push_back({Weighs::doubtful, "service/" + service, "no route leads to it"});
+    if (routes == 0) findings.push_back({Severity::warning, "service/" + service, "no route refers to it"});
   }
-  return remarks;
+  return findings;
 }
 
-std::vector<Remark> alterations(const Items& inForce, const std::vector<Item>& change) {
-  std::vector<Remark> remarks;
+std::vector<Finding> describeChange(const Items& inForce, const std::vector<Item>& change) {
+  std::vector<Finding> findings;
   Items after = inForce;
   for (const Item& item : change) {
     const std::string name = textOf(item.key);
-    const Item* held = inForce.find(item.key);
-    if (held != nullptr && held->generation >= item.generation) {
-      const bool same =
-          held->generation == item.generation && held->value == item.value && held->dropped == item.dropped;
-      remarks.push_back({same ? Weighs::plain : Weighs::doubtful, name,
-                         writeGeneration(item.generation) + " has no effect: " +
-                             writeGeneration(held->generation) + (same ? " is the same" : " is in force")});
+    const Item* current = inForce.find(item.key);
+    if (current != nullptr && current->generation >= item.generation) {
+      const bool same = current->generation == item.generation && current->value == item.value &&
+                        current->dropped == item.dropped;
+      findings.push_back({same ? Severity::info : Severity::warning, name,
+                          formatGeneration(item.generation) +
+                              " has no effect: " + formatGeneration(current->generation) +
+                              (same ? " has the same contents" : " is in force")});
       continue;
     }
     after.merge(item);
-    const bool stood = held != nullptr && !held->dropped;
+    const bool wasActive = current != nullptr && !current->dropped;
     if (item.dropped) {
-      remarks.push_back({Weighs::plain, name, stood ? "is dropped" : "is dropped, and did not stand"});
+      findings.push_back({Severity::info, name, wasActive ? "is dropped" : "is dropped, but did not exist"});
       continue;
     }
-    if (!stood) {
-      remarks.push_back({Weighs::plain, name, "is new"});
+    if (!wasActive) {
+      findings.push_back({Severity::info, name, "is new"});
       continue;
     }
     for (const auto& [field, value] : item.value.items()) {
-      const json before = held->value.value(field, json());
+      const json before = current->value.value(field, json());
       if (field == "generation" || before == value) continue;
-      Weighs weighs = Weighs::plain;
+      Severity severity = Severity::info;
       if (field == "timeout") {
-        const auto was = before.is_string() ? readSpan(before.get<std::string>()) : std::nullopt;
-        const auto is = readSpan(value.get<std::string>());
-        if (was && is && *is < *was / 2) weighs = Weighs::doubtful;
+        const auto was = before.is_string() ? parseDuration(before.get<std::string>()) : std::nullopt;
+        const auto is = parseDuration(value.get<std::string>());
+        if (was && is && *is < *was / 2) severity = Severity::warning;
       }
-      if (field == "route_kind") weighs = Weighs::doubtful;
-      remarks.push_back({weighs, name, field + ": " + before.dump() + " becomes " + value.dump()});
+      if (field == "route_kind") severity = Severity::warning;
+      findings.push_back({severity, name, field + ": " + before.dump() + " becomes " + value.dump()});
     }
-    if (held->hostname != item.hostname)
-      remarks.push_back(
-          {Weighs::doubtful, name, "moves from host " + held->hostname + " to " + item.hostname});
+    if (current->hostname != item.hostname)
+      findings.push_back(
+          {Severity::warning, name, "moves from host " + current->hostname + " to " + item.hostname});
   }
   const auto before = routesByService(inForce);
   const auto now = routesByService(after);
   for (const auto& [service, routes] : before) {
     const auto left = now.find(service);
     if (routes > 0 && (left == now.end() || left->second == 0))
-      remarks.push_back({Weighs::doubtful, "service/" + service, "loses its last route"});
+      findings.push_back({Severity::warning, "service/" + service, "loses its last route"});
   }
-  const std::vector<Remark> stood = remarksOn(inForce);
-  for (Remark& remark : remarksOn(after)) {
-    const bool old = std::any_of(stood.begin(), stood.end(), [&](const Remark& other) {
-      return other.item == remark.item && other.what == remark.what;
+  const std::vector<Finding> oldFindings = findIssues(inForce);
+  for (Finding& finding : findIssues(after)) {
+    const bool known = std::any_of(oldFindings.begin(), oldFindings.end(), [&](const Finding& other) {
+      return other.item == finding.item && other.what == finding.what;
     });
-    if (!old) remarks.push_back(std::move(remark));
+    if (!known) findings.push_back(std::move(finding));
   }
-  return remarks;
+  return findings;
 }
 
-std::vector<std::string> wayOf(const Items& items, std::string_view host, std::string_view path,
-                               bool& found) {
+std::vector<std::string> explainRoute(const Items& items, std::string_view host, std::string_view path,
+                                      bool& found) {
   std::vector<std::string> steps;
-  RouteTable book;
-  book.read(items);
-  const auto route = book.find(host, path);
+  RouteTable table;
+  table.load(items);
+  const auto route = table.find(host, path);
   found = route != nullptr;
   for (const auto& [key, item] : items.all()) {
     if (item.dropped || key.kind != ItemKind::route) continue;
     const std::string prefix = prefixOf(item);
-    const std::string_view bare = path.substr(0, path.find('?'));
-    if (bare.substr(0, prefix.size()) != prefix) continue;
-    std::string step = key.name + " at " + item.hostname + prefix + ": the path begins so";
+    const std::string_view pathOnly = path.substr(0, path.find('?'));
+    if (pathOnly.substr(0, prefix.size()) != prefix) continue;
+    std::string step = key.name + " at " + item.hostname + prefix + ": the path matches";
     if (!route || key.name != route->name) {
-      const bool sameHost = book.find(item.hostname, path) == route;
-      step += sameHost ? ", but a longer prefix or a newer version goes first" : ", but the host is another";
+      const bool sameHost = table.find(item.hostname, path) == route;
+      step +=
+          sameHost ? ", but a longer prefix or a newer version takes precedence" : ", but the host differs";
     }
     steps.push_back(std::move(step));
   }
@@ -155,7 +157,7 @@
     return steps;
   }
   const Item& item = *items.find({ItemKind::route, route->name});
-  steps.push_back("taken: " + route->name + " (" + writeGeneration(route->generation) + "), " +
+  steps.push_back("taken: " + route->name + " (" + formatGeneration(route->generation) + "), " +
                   item.value["route_kind"].get<std::string>() + ", to " + targetsOf(item));
   return steps;
 }
--- a/src/mesh/checker/explain.hpp
+++ b/src/mesh/checker/explain.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// What a configuration means, for the person who is to send it: which route a request takes and why, and what
-// a change would alter. The same schema and code as the daemons'. It owns nothing; no I/O.
+// Explains configurations to operators: issues, the effects of a change, and the route that a request takes.
+// Uses the same schema and code as the daemons; no I/O.
 
 #include <string>
 #include <string_view>
@@ -12,22 +12,24 @@
 
 namespace rackroute::mesh {
 
-/// A change as it is sent, or all items as they are read back.
-Result<std::vector<Item>> readPlan(std::string_view text);
+/// Parses a change, or all items as GET /rackroute/config returns them.
+Result<std::vector<Item>> parseConfiguration(std::string_view text);
 
-enum class Weighs { plain, doubtful, wrong };
+enum class Severity { info, warning, error };
 
-struct Remark {
-  Weighs weighs = Weighs::plain;
+struct Finding {
+  Severity severity = Severity::info;
   std::string item;
   std::string what;
 };
 
-/// What stands wrong or looks it in a configuration by itself.
-std::vector<Remark> remarksOn(const Items& items);
-/// What the change would alter in what is in force.
-std::vector<Remark> alterations(const Items& inForce, const std::vector<Item>& change);
-/// The steps to the route that a request takes, the last one being it or that there is none.
-std::vector<std::string> wayOf(const Items& items, std::string_view host, std::string_view path, bool& found);
+/// Errors and doubtful settings in a configuration.
+std::vector<Finding> findIssues(const Items& items);
+/// The effects of a change on the configuration in force.
+std::vector<Finding> describeChange(const Items& inForce, const std::vector<Item>& change);
+/// The routes that were considered for a request; the last line names the selected one, or says that there is
+/// none.
+std::vector<std::string> explainRoute(const Items& items, std::string_view host, std::string_view path,
+                                      bool& found);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/configuration/duration_text.cpp
+++ b/src/mesh/configuration/duration_text.cpp
@@ -5,11 +5,12 @@
 namespace rackroute::mesh {
 namespace {
 
-constexpr double kLongestMilliseconds = 1e13;  // some three hundred years; keeps the sum within a Span
+// About 300 years; avoids an overflow of Span.
+constexpr double kMaxMilliseconds = 1e13;
 
 }  // namespace
 
-std::optional<Span> readSpan(std::string_view text) {
+std::optional<Span> parseDuration(std::string_view text) {
   double number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc{}) return std::nullopt;
@@ -19,22 +20,22 @@
   } else if (unit != "ms") {
     return std::nullopt;
   }
-  if (!(number >= 0) || number > kLongestMilliseconds) return std::nullopt;
+  if (!(number >= 0) || number > kMaxMilliseconds) return std::nullopt;
   return Span(static_cast<Span::rep>(number * 1000));
 }
 
-std::string writeSeconds(Span span) {
+std::string formatSeconds(Span span) {
   const auto milliseconds = span / std::chrono::milliseconds(1);
   std::string fraction = std::to_string(milliseconds % 1000);
   fraction.insert(0, 3 - fraction.size(), '0');
   return std::to_string(milliseconds / 1000) + '.' + fraction;
 }
 
-std::string writeSpan(Span span) {
+std::string formatDuration(Span span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) + "ms";
 }
 
-std::optional<Generation> readGeneration(std::string_view text) {
+std::optional<Generation> parseGeneration(std::string_view text) {
   if (text.size() < 2 || text[0] != 'r' || text[1] < '0' || text[1] > '9') return std::nullopt;
   std::uint64_t number = 0;
   const auto [end, error] = std::from_chars(text.data() + 1, text.data() + text.size(), number);
@@ -42,7 +43,7 @@
   return Generation{number};
 }
 
-std::string writeGeneration(Generation generation) {
+std::string formatGeneration(Generation generation) {
   std::string text = std::to_string(generation.value);
   text.insert(text.begin(), 'r');
   return text;
--- a/src/mesh/configuration/duration_text.hpp
+++ b/src/mesh/configuration/duration_text.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Times and versions as the pages write them: 1500ms, 2.5s, r12.
+// Durations and versions in their text form: 1500ms, 2.5s, r12.
 
 #include <optional>
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace rackroute::mesh {
 
-/// A number and its unit, ms or s; none for anything else, and for a negative or endless number.
-std::optional<Span> readSpan(std::string_view text);
-std::string writeSpan(Span span);
-/// Seconds and a fraction of three digits, without a unit, as Retry-After has it.
-std::string writeSeconds(Span span);
-/// r and a number.
-std::optional<Generation> readGeneration(std::string_view text);
-std::string writeGeneration(Generation generation);
+/// Parses a number with the unit ms or s. None for anything else, including negative and infinite numbers.
+std::optional<Span> parseDuration(std::string_view text);
+std::string formatDuration(Span span);
+/// Seconds with three decimals and no unit, as in Retry-After.
+std::string formatSeconds(Span span);
+/// Parses the letter r followed by a number.
+std::optional<Generation> parseGeneration(std::string_view text);
+std::string formatGeneration(Generation generation);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/configuration/error.hpp
+++ b/src/mesh/configuration/error.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// What went wrong, with the step at which it did and the peer that was involved. It decides nothing.
+// Errors that name the failed step, the peer involved and the cause, and results that carry them.
 
 #include <boost/outcome.hpp>
 #include <string>
@@ -10,7 +10,7 @@
 
 struct Error {
   std::string step;
-  std::string peer;  // empty: none but this process
+  std::string peer;  // empty: no other process is involved
   std::string what;
   [[nodiscard]] std::string line() const {
     return step + (peer.empty() ? "" : " (" + peer + ")") + ": " + what;
--- a/src/mesh/configuration/item_check.cpp
+++ b/src/mesh/configuration/item_check.cpp
@@ -9,13 +9,13 @@
 
 using nlohmann::json;
 
-/// Of arrays and objects in one value. The JSON library copies and writes them recursively, so that a deeper
-/// one could exhaust the stack.
-constexpr std::size_t kDeepestNesting = 256;
+/// Maximum depth of arrays and objects in one value. The JSON library copies and serializes recursively, so a
+/// deeper value could exhaust the stack.
+constexpr std::size_t kMaxNesting = 256;
 
 enum class Type { text, number, list };
 
-bool isOf(Type type, const json& value) {
+bool hasType(Type type, const json& value) {
   switch (type) {
     case Type::text:
       return value.is_string();
@@ -57,46 +57,48 @@
   return none;
 }
 
-std::string faultOfTargets(const json& route) {
-  if (route.contains("target") == route.contains("weighted")) return "needs either target or weighted";
+std::string validateTargets(const json& route) {
+  if (route.contains("target") == route.contains("weighted"))
+    return "needs exactly one of target and weighted";
   if (route.contains("target")) return {};
   bool anyWeight = false;
-  for (const json& part : route["weighted"]) {
-    if (!part.is_object() || !part.contains("target") || !part["target"].is_string())
-      return "weighted lacks a target";
-    if (!part.contains("weight") || !part["weight"].is_number()) return "weighted lacks a weight";
-    const double weight = part["weight"].get<double>();
-    if (!(weight >= 0)) return "weighted has a weight below 0";
+  for (const json& entry : route["weighted"]) {
+    if (!entry.is_object() || !entry.contains("target") || !entry["target"].is_string())
+      return "has an entry without a target in weighted";
+    if (!entry.contains("weight") || !entry["weight"].is_number())
+      return "has an entry without a weight in weighted";
+    const double weight = entry["weight"].get<double>();
+    if (!(weight >= 0)) return "has a negative weight in weighted";
     anyWeight = anyWeight || weight > 0;
   }
-  return anyWeight ? "" : "weighted has no weight";
+  return anyWeight ? "" : "has no positive weight in weighted";
 }
 
 bool nestedTooDeep(const json& value) {
-  std::vector<std::pair<const json*, std::size_t>> open{{&value, 1}};
-  while (!open.empty()) {
-    const auto [outer, depth] = open.back();
-    open.pop_back();
+  std::vector<std::pair<const json*, std::size_t>> pending{{&value, 1}};
+  while (!pending.empty()) {
+    const auto [outer, depth] = pending.back();
+    pending.pop_back();
     if (!outer->is_structured()) continue;
-    if (depth > kDeepestNesting) return true;
-    for (const json& inner : *outer) open.emplace_back(&inner, depth + 1);
+    if (depth > kMaxNesting) return true;
+    for (const json& inner : *outer) pending.emplace_back(&inner, depth + 1);
   }
   return false;
 }
 
 }  // namespace
 
-std::string faultOf(ItemKind kind, const json& value) {
-  if (!value.is_object()) return "is no object";
-  if (nestedTooDeep(value)) return "is nested too deep";
+std::string validateItem(ItemKind kind, const json& value) {
+  if (!value.is_object()) return "is not an object";
+  if (nestedTooDeep(value)) return "is nested too deeply";
   for (const FieldRule& rule : rulesOf(kind)) {
     const auto field = value.find(rule.name);
     if (field == value.end() && rule.required) return std::string("lacks ") + rule.name;
-    if (field != value.end() && !isOf(rule.type, *field))
-      return std::string(rule.name) + " is of another type";
+    if (field != value.end() && !hasType(rule.type, *field))
+      return std::string(rule.name) + " has the wrong type";
   }
   if (kind != ItemKind::route) return {};
-  return faultOfTargets(value);
+  return validateTargets(value);
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/configuration/item_check.hpp
+++ b/src/mesh/configuration/item_check.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// Whether an item that came from another process or from the disk may be put into force: what the parts that
-// use its value rely on. Changes of operators are checked more strictly, with the rule that is broken; see
-// readChange.
+// Validates items from other processes and from disk before they take effect: everything that the users of an
+// item's value rely on. Changes from operators are checked more strictly; see parseChange.
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -11,7 +10,7 @@
 
 namespace rackroute::mesh {
 
-/// What is wrong with the value of an item that stands; empty: nothing.
-std::string faultOf(ItemKind kind, const nlohmann::json& value);
+/// Describes the first error in the value of an item that is not dropped; empty if the value is valid.
+std::string validateItem(ItemKind kind, const nlohmann::json& value);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/configuration/items.cpp
+++ b/src/mesh/configuration/items.cpp
@@ -16,15 +16,15 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr Span kLongestTimeout = 10min;  // of a route, as the protocol has it
+constexpr Span kMaxTimeout = 10min;  // of a route; fixed by the protocol
 
-std::uint64_t hashOf(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
+std::uint64_t hashText(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
 Result<Item> itemOf(ItemKind kind, const json& value, bool dropped) {
   Item item;
   item.key = {kind, kind == ItemKind::limits ? "limits" : value["name"].get<std::string>()};
-  const auto generation = readGeneration(value["generation"].get<std::string>());
-  if (!generation) return failure("change", textOf(item.key) + ".generation is no version");
+  const auto generation = parseGeneration(value["generation"].get<std::string>());
+  if (!generation) return failure("change", textOf(item.key) + ".generation is not a version");
   item.generation = *generation;
   item.dropped = dropped;
   if (!dropped) item.value = value;
@@ -35,30 +35,30 @@
   const json& value = route.value;
   const std::string name = textOf(route.key);
   const auto span = [&](const char* field) -> std::optional<Span> {
-    return value.contains(field) ? readSpan(value[field].get<std::string>()) : std::optional<Span>(1ms);
+    return value.contains(field) ? parseDuration(value[field].get<std::string>()) : std::optional<Span>(1ms);
   };
   const auto timeout = span("timeout");
-  if (!timeout) return failure("change", name + ".timeout can't be read");
+  if (!timeout) return failure("change", name + ".timeout is not a duration");
   if (*timeout <= Span{0}) return failure("change", name + ".timeout is 0");
-  if (*timeout > kLongestTimeout) return failure("change", name + ".timeout is over ten minutes");
-  if (!span("target_time")) return failure("change", name + ".target_time can't be read");
+  if (*timeout > kMaxTimeout) return failure("change", name + ".timeout is over ten minutes");
+  if (!span("target_time")) return failure("change", name + ".target_time is not a duration");
   if (value["path_prefix"].get<std::string>()[0] != '/')
     return failure("change", name + ".path_prefix does not begin with a slash");
   if (value.contains("target") == value.contains("weighted"))
-    return failure("change", name + " needs either target or weighted");
+    return failure("change", name + " needs exactly one of target and weighted");
   if (value.contains("weighted")) {
     double sum = 0;
-    for (const json& part : value["weighted"]) sum += part["weight"].get<double>();
-    if (!(sum > 0)) return failure("change", name + ".weighted has no weight");
+    for (const json& entry : value["weighted"]) sum += entry["weight"].get<double>();
+    if (!(sum > 0)) return failure("change", name + ".weighted has no positive weight");
   }
   return boost::outcome_v2::success();
 }
 
 }  // namespace
 
-std::uint64_t printOf(const Item& item) {
-  return hashOf(textOf(item.key) + (item.dropped ? "-" : "+") + writeGeneration(item.generation) +
-                (item.dropped ? std::string() : item.hostname + item.value.dump()));
+std::uint64_t hashOf(const Item& item) {
+  return hashText(textOf(item.key) + (item.dropped ? "-" : "+") + formatGeneration(item.generation) +
+                  (item.dropped ? std::string() : item.hostname + item.value.dump()));
 }
 
 std::string textOf(const ItemKey& key) {
@@ -80,14 +80,14 @@
 
 json toJson(const Item& item) {
   json out{{"k", textOf(item.key)}, {"g", item.generation.value}};
-  if (item.print != 0) out["p"] = item.print;
+  if (item.hash != 0) out["p"] = item.hash;
   if (item.dropped) return out;
   out["v"] = item.value;
   if (!item.hostname.empty()) out["h"] = item.hostname;
   return out;
 }
 
-Item itemFrom(const json& from) {
+Item itemFromJson(const json& from) {
   Item item;
   item.key = keyOf(from.at("k").get<std::string>()).value_or(ItemKey{});
   item.generation = {from.at("g").get<std::uint64_t>()};
@@ -96,7 +96,7 @@
     item.value = from["v"];
     item.hostname = from.value("h", std::string());
   }
-  item.print = from.value("p", std::uint64_t{0});
+  item.hash = from.value("p", std::uint64_t{0});
   return item;
 }
 
@@ -110,31 +110,32 @@
   if (route.dropped || route.key.kind != ItemKind::route) return services;
   if (route.value.contains("target")) services.push_back(route.value["target"].get<std::string>());
   if (route.value.contains("weighted")) {
-    for (const json& part : route.value["weighted"]) services.push_back(part["target"].get<std::string>());
+    for (const json& entry : route.value["weighted"]) services.push_back(entry["target"].get<std::string>());
   }
   return services;
 }
 
-Result<std::vector<Item>> readChange(std::string_view text) {
-  if (auto shape = checkShape(Shape::change, text); !shape) return std::move(shape).error();
+Result<std::vector<Item>> parseChange(std::string_view text) {
+  if (auto valid = validateJson(Schema::change, text); !valid) return std::move(valid).error();
   const json change = json::parse(text);
   std::vector<Item> items;
-  std::map<ItemKey, std::size_t> places;
-  // A name may stand in a change more than once: its highest version prevails there too.
+  std::map<ItemKey, std::size_t> indices;
+  // A change may contain an item more than once; its highest version wins.
   const auto add = [&](Result<Item> read) -> Result<void> {
     if (!read) return std::move(read).error();
     Item item = std::move(read).value();
-    // Guards against a value that this process could take and the others refuse, such as one nested too deep.
-    const std::string fault = item.dropped ? std::string() : faultOf(item.key.kind, item.value);
-    if (!fault.empty()) return failure("change", textOf(item.key) + ' ' + fault);
-    const auto [place, first] = places.try_emplace(item.key, items.size());
-    if (first) {
+    // Rejects values that the schema allows but other processes would refuse, such as one nested too deeply.
+    const std::string error = item.dropped ? std::string() : validateItem(item.key.kind, item.value);
+    if (!error.empty()) return failure("change", textOf(item.key) + ' ' + error);
+    const auto [entry, inserted] = indices.try_emplace(item.key, items.size());
+    if (inserted) {
       items.push_back(std::move(item));
       return boost::outcome_v2::success();
     }
-    Item& other = items[place->second];
-    if (item.generation == other.generation && printOf(item) != printOf(other))
-      return failure("change", textOf(item.key) + " stands in it twice with one version");
+    Item& other = items[entry->second];
+    if (item.generation == other.generation && hashOf(item) != hashOf(other))
+      return failure("change",
+                     textOf(item.key) + " occurs twice with the same version and different contents");
     if (item.generation > other.generation) other = std::move(item);
     return boost::outcome_v2::success();
   };
@@ -146,8 +147,8 @@
     if (const auto limits = upsert->find("limits"); limits != upsert->end()) {
       if (auto added = add(itemOf(ItemKind::limits, *limits, false)); !added) return std::move(added).error();
       for (const char* field : {"header", "idle"}) {
-        if (limits->contains(field) && !readSpan((*limits)[field].get<std::string>()))
-          return failure("change", std::string("limits.") + field + " can't be read");
+        if (limits->contains(field) && !parseDuration((*limits)[field].get<std::string>()))
+          return failure("change", std::string("limits.") + field + " is not a duration");
       }
     }
     for (const json& host : upsert->value("host_map", json::array())) {
@@ -155,7 +156,7 @@
         Result<Item> read = itemOf(ItemKind::route, route, false);
         if (!read) return std::move(read).error();
         read.value().hostname = host["hostname"].get<std::string>();
-        if (auto sound = checkRoute(read.value()); !sound) return std::move(sound).error();
+        if (auto valid = checkRoute(read.value()); !valid) return std::move(valid).error();
         if (auto added = add(std::move(read)); !added) return std::move(added).error();
       }
     }
@@ -163,7 +164,7 @@
   if (const auto remove = change.find("remove"); remove != change.end()) {
     for (const auto& [list, entries] : remove->items()) {
       if (list != "route_list" && list != "service_list" && !entries.empty())
-        return failure("change", "remove." + list + " is no list of items");
+        return failure("change", "remove." + list + " is not a list of items");
       for (const json& entry : entries) {
         const ItemKind kind = list == "route_list" ? ItemKind::route : ItemKind::service;
         if (auto added = add(itemOf(kind, entry, true)); !added) return std::move(added).error();
@@ -173,7 +174,7 @@
   return items;
 }
 
-bool Items::newer(const Item& item) const {
+bool Items::isNewer(const Item& item) const {
   const Item* held = find(item.key);
   return held == nullptr || held->generation < item.generation;
 }
@@ -181,18 +182,18 @@
 bool Items::merge(const Item& item) {
   const auto found = items_.find(item.key);
   if (found != items_.end() && found->second.generation > item.generation) return false;
-  const std::uint64_t print = item.print != 0 ? item.print : printOf(item);
+  const std::uint64_t hash = item.hash != 0 ? item.hash : hashOf(item);
   if (found != items_.end()) {
     const Item& held = found->second;
-    // Guards against two operators who gave one version to two contents: every copy keeps the same one.
-    if (held.generation == item.generation && held.print >= print) return false;
-    digest_ ^= held.print;
+    // If two operators used one version for different contents, all copies keep the one with the higher hash.
+    if (held.generation == item.generation && held.hash >= hash) return false;
+    digest_ ^= held.hash;
   }
-  Item& kept = items_[item.key];
-  kept = item;
-  if (kept.print == 0) kept.wire.reset();  // it lacks the print
-  kept.print = print;
-  digest_ ^= kept.print;
+  Item& stored = items_[item.key];
+  stored = item;
+  if (stored.hash == 0) stored.wire.reset();  // the cached text lacks the hash
+  stored.hash = hash;
+  digest_ ^= stored.hash;
   return true;
 }
 
@@ -203,25 +204,25 @@
 
 json Items::versions() const {
   json versions = json::object();
-  for (const auto& [key, item] : items_) versions[textOf(key)] = {item.generation.value, item.print};
+  for (const auto& [key, item] : items_) versions[textOf(key)] = {item.generation.value, item.hash};
   return versions;
 }
 
-std::vector<Item> Items::beyond(const json& versions) const {
-  std::vector<Item> more;
+std::vector<Item> Items::newerThan(const json& versions) const {
+  std::vector<Item> newer;
   for (const auto& [key, item] : items_) {
     const auto theirs = versions.find(textOf(key));
     if (theirs != versions.end()) {
       const auto generation = theirs->at(0).get<std::uint64_t>();
       if (generation > item.generation.value) continue;
-      if (generation == item.generation.value && theirs->at(1).get<std::uint64_t>() >= item.print) continue;
+      if (generation == item.generation.value && theirs->at(1).get<std::uint64_t>() >= item.hash) continue;
     }
-    more.push_back(item);
+    newer.push_back(item);
   }
-  return more;
+  return newer;
 }
 
-json Items::standing() const {
+json Items::activeAsJson() const {
   json services = json::array();
   json limits;
   std::map<std::string, json> hosts;
@@ -241,16 +242,16 @@
 }
 
 std::optional<std::string> Items::unknownService(const std::vector<Item>& change) const {
-  std::set<std::string> given;
-  std::set<std::string> taken;
+  std::set<std::string> added;
+  std::set<std::string> dropped;
   for (const Item& item : change) {
-    if (item.key.kind == ItemKind::service) (item.dropped ? taken : given).insert(item.key.name);
+    if (item.key.kind == ItemKind::service) (item.dropped ? dropped : added).insert(item.key.name);
   }
   for (const Item& route : change) {
     for (const std::string& service : servicesOf(route)) {
-      if (given.count(service) > 0) continue;
+      if (added.count(service) > 0) continue;
       const Item* held = find({ItemKind::service, service});
-      if (held == nullptr || held->dropped || taken.count(service) > 0) return service;
+      if (held == nullptr || held->dropped || dropped.count(service) > 0) return service;
     }
   }
   return std::nullopt;
--- a/src/mesh/configuration/items.hpp
+++ b/src/mesh/configuration/items.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The configuration: named items, each with its own version, set or dropped. It owns them, merges copies item
-// by item, and must never go back on an item, whatever is offered.
+// The configuration: named items, each with its own version, set or dropped. Copies are merged item by item;
+// the version of an item never decreases.
 
 #include <cstdint>
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace rackroute::mesh {
 
-/// voters: the set of control processes that vote; agreed on among them, no operator's.
+/// voters: the set of voting control processes, which they agree on themselves; operators can't change it.
 enum class ItemKind { route, service, limits, voters };
 
 struct ItemKey {
@@ -30,43 +30,43 @@
   ItemKey key;
   Generation generation;
   bool dropped = false;
-  std::string hostname;     // of a route
-  nlohmann::json value;     // as the operator sent it; null if dropped
-  std::uint64_t print = 0;  // of all the above, where it is held; large configurations are compared often
+  std::string hostname;                               // routes only
+  nlohmann::json value;                               // as the operator sent it; null if dropped
+  std::uint64_t hash = 0;                             // cached hashOf() of stored items; 0: not computed
   mutable std::shared_ptr<const std::string> wire{};  // see wireOf
 };
 
 nlohmann::json toJson(const Item& item);
-/// Hash of all that the item says; equal wherever equal items are held. Item::print, where that is set.
-std::uint64_t printOf(const Item& item);
-/// As toJson, in text; written out once, whatever it goes into, and shared by copies of the item.
+/// Hash of the item's contents, the same in all processes.
+std::uint64_t hashOf(const Item& item);
+/// The text of toJson(), cached and shared by copies of the item.
 const std::string& wireOf(const Item& item);
-/// Throws nlohmann's exceptions for what no process of the mesh sends.
-Item itemFrom(const nlohmann::json& from);
+/// Throws nlohmann's exceptions for malformed input.
+Item itemFromJson(const nlohmann::json& from);
 std::string textOf(const ItemKey& key);
 std::optional<ItemKey> keyOf(std::string_view text);
 
-/// All items of a change, checked for all that can be told without knowing what is in force. The failure
-/// names item, field and rule.
-Result<std::vector<Item>> readChange(std::string_view text);
+/// Parses a change and validates all that does not depend on the configuration in force. The error names the
+/// item, the field and the rule.
+Result<std::vector<Item>> parseChange(std::string_view text);
 
 class Items {
  public:
-  /// Takes it if it is newer than what is held; among equal versions of two operators the copies agree on
-  /// one.
+  /// Stores the item if it is newer than the stored one; returns whether it did. Between different contents
+  /// with one version all copies choose the same.
   bool merge(const Item& item);
-  /// As merge, for a call: a version that is held already has no effect, whatever it says.
-  [[nodiscard]] bool newer(const Item& item) const;
+  /// Whether the item's version is higher than the stored one.
+  [[nodiscard]] bool isNewer(const Item& item) const;
   [[nodiscard]] const std::map<ItemKey, Item>& all() const { return items_; }
   [[nodiscard]] const Item* find(const ItemKey& key) const;
-  /// Equal wherever equal items are held.
+  /// Digest of all items, the same for all copies with equal items.
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
   [[nodiscard]] nlohmann::json versions() const;
-  /// What another with these versions lacks.
-  [[nodiscard]] std::vector<Item> beyond(const nlohmann::json& versions) const;
-  /// All that stands, laid out as a change's set.
-  [[nodiscard]] nlohmann::json standing() const;
-  /// The first service that the change's routes name and that would not stand after it.
+  /// The items that a copy with these versions lacks.
+  [[nodiscard]] std::vector<Item> newerThan(const nlohmann::json& versions) const;
+  /// All items that are not dropped, in the form of a change's `upsert`.
+  [[nodiscard]] nlohmann::json activeAsJson() const;
+  /// The first service that the change's routes refer to and that would not exist after it.
   [[nodiscard]] std::optional<std::string> unknownService(const std::vector<Item>& change) const;
 
  private:
@@ -74,7 +74,7 @@
   std::uint64_t digest_ = 0;
 };
 
-/// The services that a route's item names.
+/// The services that a route's item refers to.
 std::vector<std::string> servicesOf(const Item& route);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/configuration/route_table.cpp
+++ b/src/mesh/configuration/route_table.cpp
@@ -25,27 +25,27 @@
   route.prefix = value["path_prefix"].get<std::string>();
   const std::string kind = value["route_kind"].get<std::string>();
   route.kind = kind == "pure" ? RouteKind::pure : kind == "keyed" ? RouteKind::keyed : RouteKind::effectful;
-  route.timeout = readSpan(value["timeout"].get<std::string>()).value_or(Span{});
-  route.aim =
-      readSpan(value.value("target_time", value["timeout"].get<std::string>())).value_or(route.timeout);
+  route.timeout = parseDuration(value["timeout"].get<std::string>()).value_or(Span{});
+  route.targetTime =
+      parseDuration(value.value("target_time", value["timeout"].get<std::string>())).value_or(route.timeout);
   route.priority = value.value("priority", 0U);
-  route.mostServers = value.value("max_attempts", 1U);
+  route.maxAttempts = value.value("max_attempts", 1U);
   if (value.contains("target")) {
     route.targets.emplace_back(ServiceName{value["target"].get<std::string>()}, 1);
   } else {
-    for (const json& part : value["weighted"])
-      route.targets.emplace_back(ServiceName{part["target"].get<std::string>()},
-                                 part["weight"].get<double>());
+    for (const json& entry : value["weighted"])
+      route.targets.emplace_back(ServiceName{entry["target"].get<std::string>()},
+                                 entry["weight"].get<double>());
   }
-  for (const auto& target : route.targets) route.weights += target.second;
+  for (const auto& target : route.targets) route.totalWeight += target.second;
   route.generation = item.generation;
   return route;
 }
 
 }  // namespace
 
-const ServiceName& Route::targetAt(double number) const {
-  double left = number * weights;
+const ServiceName& Route::pickTarget(double number) const {
+  double left = number * totalWeight;
   for (const auto& [service, weight] : targets) {
     if (weight > 0 && left < weight) return service;
     left -= weight;
@@ -53,7 +53,7 @@
   return std::find_if(targets.rbegin(), targets.rend(), [](const auto& t) { return t.second > 0; })->first;
 }
 
-void RouteTable::read(const Items& items) {
+void RouteTable::load(const Items& items) {
   hosts_.clear();
   limits_ = {};
   std::set<ServiceName> services;
@@ -61,14 +61,14 @@
     if (item.dropped) continue;
     if (key.kind == ItemKind::limits) {
       limits_.bodyBytes = item.value.value("body_bytes", limits_.bodyBytes);
-      limits_.header = readSpan(item.value.value("header", "")).value_or(limits_.header);
-      limits_.idle = readSpan(item.value.value("idle", "")).value_or(limits_.idle);
+      limits_.headerTimeout = parseDuration(item.value.value("header", "")).value_or(limits_.headerTimeout);
+      limits_.idleTimeout = parseDuration(item.value.value("idle", "")).value_or(limits_.idleTimeout);
     } else if (key.kind == ItemKind::route) {
       auto route = std::make_shared<const Route>(routeOf(item));
       for (const auto& target : route->targets) services.insert(target.first);
-      auto& place = hosts_[lowered(item.hostname)][route->prefix];
-      // Two names at one place stand for a while when one takes the other's; the newer one is meant.
-      if (!place || place->generation < route->generation) place = std::move(route);
+      auto& slot = hosts_[lowered(item.hostname)][route->prefix];
+      // Two routes may share a host and prefix while one replaces the other; the newer one wins.
+      if (!slot || slot->generation < route->generation) slot = std::move(route);
     }
   }
   services_.assign(services.begin(), services.end());
--- a/src/mesh/configuration/route_table.hpp
+++ b/src/mesh/configuration/route_table.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// Which route a request takes: by host, then the longest prefix that begins its path. It owns the routes as
-// read from the items in force, and nothing of a request.
+// The routing table: selects a route by host, then by the longest matching path prefix.
 
 #include <memory>
 #include <optional>
@@ -21,27 +20,28 @@
   std::string prefix;
   RouteKind kind = RouteKind::effectful;
   Span timeout{};
-  Span aim{};
+  Span targetTime{};
   std::uint32_t priority = 0;                           // 0: highest
-  std::uint32_t mostServers = 1;                        // to which one try may be sent
+  std::uint32_t maxAttempts = 1;                        // servers that one request may reach
   std::vector<std::pair<ServiceName, double>> targets;  // with their weights
-  double weights = 0;                                   // their sum
+  double totalWeight = 0;
   Generation generation;
-  /// One of the targets; number is drawn evenly from 0 up to 1.
-  [[nodiscard]] const ServiceName& targetAt(double number) const;
+  /// Picks a target by weight; number is uniformly distributed in [0, 1).
+  [[nodiscard]] const ServiceName& pickTarget(double number) const;
 };
 
-/// What clients may send, and how long they may take.
+/// Limits on clients' requests and connections.
 struct Limits {
   std::size_t bodyBytes = 64 << 20;
-  Span header = std::chrono::seconds(3);
-  Span idle = std::chrono::seconds(15);
+  Span headerTimeout = std::chrono::seconds(3);
+  Span idleTimeout = std::chrono::seconds(15);
 };
 
 class RouteTable {
  public:
-  void read(const Items& items);
-  /// The path may carry a query, the host a port.
+  /// Rebuilds the table from the items in force.
+  void load(const Items& items);
+  /// The path may include a query, the host a port.
   [[nodiscard]] std::shared_ptr<const Route> find(std::string_view host, std::string_view path) const;
   [[nodiscard]] const Limits& limits() const { return limits_; }
   [[nodiscard]] const std::vector<ServiceName>& services() const { return services_; }
--- a/src/mesh/configuration/schema.cpp
+++ b/src/mesh/configuration/schema.cpp
@@ -84,34 +84,34 @@
   }
 })";
 
-const rapidjson::SchemaDocument& schemaOf(Shape shape) {
+const rapidjson::SchemaDocument& schemaOf(Schema schema) {
   const auto compile = [](std::string_view text) {
-    rapidjson::Document schema;
-    schema.Parse(text.data(), text.size());
-    if (schema.HasParseError()) throw std::logic_error("a schema of our own is no JSON");
-    return std::make_unique<rapidjson::SchemaDocument>(schema);
+    rapidjson::Document parsed;
+    parsed.Parse(text.data(), text.size());
+    if (parsed.HasParseError()) throw std::logic_error("built-in schema is not valid JSON");
+    return std::make_unique<rapidjson::SchemaDocument>(parsed);
   };
   static const auto settings = compile(kSettings);
   static const auto change = compile(kChange);
-  return shape == Shape::settings ? *settings : *change;
+  return schema == Schema::settings ? *settings : *change;
 }
 
 }  // namespace
 
-Result<void> checkShape(Shape shape, std::string_view text) {
-  const std::string step = shape == Shape::settings ? "settings" : "change";
+Result<void> validateJson(Schema schema, std::string_view text) {
+  const std::string step = schema == Schema::settings ? "settings" : "change";
   rapidjson::Document document;
   document.Parse(text.data(), text.size());
   if (document.HasParseError()) {
     return failure(step, std::string(rapidjson::GetParseError_En(document.GetParseError())) + " at byte " +
                              std::to_string(document.GetErrorOffset()));
   }
-  rapidjson::SchemaValidator validator(schemaOf(shape));
+  rapidjson::SchemaValidator validator(schemaOf(schema));
   if (document.Accept(validator)) return boost::outcome_v2::success();
   rapidjson::StringBuffer where;
   validator.GetInvalidDocumentPointer().StringifyUriFragment(where);
   return failure(step,
-                 std::string(where.GetString()) + " breaks \"" + validator.GetInvalidSchemaKeyword() + '"');
+                 std::string(where.GetString()) + " violates \"" + validator.GetInvalidSchemaKeyword() + '"');
 }
 
 }  // namespace rackroute::mesh
--- a/src/mesh/configuration/schema.hpp
+++ b/src/mesh/configuration/schema.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// Checks a text against one of the schemas. It owns the compiled schemas and must never let through what the
-// schema forbids, nor stop at anything that it does not name.
+// Validates JSON texts against the built-in schemas. Fields that a schema doesn't restrict are accepted.
 
 #include <string_view>
 
@@ -9,9 +8,9 @@
 
 namespace rackroute::mesh {
 
-enum class Shape { settings, change };
+enum class Schema { settings, change };
 
-/// Nothing, or the first place where the text leaves its shape. A text that ends early is no JSON.
-Result<void> checkShape(Shape shape, std::string_view text);
+/// Success, or the position of the first syntax error or schema violation.
+Result<void> validateJson(Schema schema, std::string_view text);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/configuration/settings.cpp
+++ b/src/mesh/configuration/settings.cpp
@@ -12,23 +12,23 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-// Where a bound is not in force the file leaves it out; these keep the parts that ask for it at work.
-constexpr Span kDrainUntold = 2500ms;
-constexpr Span kGraceUntold = 6s;
-constexpr Span kKeyWindowUntold = 60s;
-constexpr Span kRetryWindowUntold = 10s;
-constexpr double kRetryRatioUntold = 0.1;
-constexpr double kRetrySlackUntold = 10;
+// Defaults for bounds that the settings file leaves out.
+constexpr Span kDefaultDrain = 2500ms;
+constexpr Span kDefaultGrace = 6s;
+constexpr Span kDefaultKeyWindow = 60s;
+constexpr Span kDefaultRetryWindow = 10s;
+constexpr double kDefaultRetryRatio = 0.1;
+constexpr double kDefaultRetrySlack = 10;
 
 std::string textOf(const json& from, const char* name) {
-  const auto found = from.find(name);
-  return found != from.end() && found->is_string() ? found->get<std::string>() : std::string();
+  const auto field = from.find(name);
+  return field != from.end() && field->is_string() ? field->get<std::string>() : std::string();
 }
 
 }  // namespace
 
 Result<Settings> readSettings(std::string_view text) {
-  if (auto shape = checkShape(Shape::settings, text); !shape) return std::move(shape).error();
+  if (auto valid = validateJson(Schema::settings, text); !valid) return std::move(valid).error();
   const json all = json::parse(text);
   Settings settings;
   settings.node = {all["node_name"].get<std::string>()};
@@ -38,7 +38,7 @@
   for (const json& seed : all["seed_list"]) settings.seeds.push_back({seed.get<std::string>()});
   const json& addresses = all["listen_addrs"];
   settings.inbound = {textOf(addresses, "inbound")};
-  // Behind a relay or a mapped port the address that others reach is not the one to listen at.
+  // Behind a relay or a mapped port the advertised address differs from the one to bind.
   settings.inboundBind = {textOf(addresses, "inbound_bind")};
   if (settings.inboundBind.value.empty()) settings.inboundBind = settings.inbound;
   settings.outbound = {textOf(addresses, "outbound")};
@@ -46,7 +46,8 @@
   settings.control = {textOf(addresses, "control_addr")};
   settings.firstPort = all["port_range"][0].get<std::uint16_t>();
   settings.lastPort = all["port_range"][1].get<std::uint16_t>();
-  if (settings.lastPort < settings.firstPort) return failure("settings", "port_range ends before it begins");
+  if (settings.lastPort < settings.firstPort)
+    return failure("settings", "the end of port_range is below its start");
   settings.firstBoot = all.value("first_boot", false);
   settings.dataFolder = textOf(all, "data_dir");
   if (const auto limits = all.find("limits"); limits != all.end()) {
@@ -55,30 +56,30 @@
   }
   settings.target = {textOf(all, "target")};
   settings.server = {textOf(all, "app_addr")};
-  if (const auto borne = all.find("tolerance"); borne != all.end())
-    settings.bearableLosses = borne->value("machine_losses", 0U);
+  if (const auto tolerance = all.find("tolerance"); tolerance != all.end())
+    settings.toleratedMachineLosses = tolerance->value("machine_losses", 0U);
   const json& bounds = all["bound_map"];
-  std::string wrong;
-  const auto span = [&](const char* name, Span untold) {
+  std::string invalid;
+  const auto span = [&](const char* name, Span fallback) {
     const auto found = bounds.find(name);
-    if (found == bounds.end()) return untold;
-    const auto read = found->is_string() ? readSpan(found->get<std::string>()) : std::nullopt;
-    if (!read) wrong = name;
-    return read.value_or(untold);
+    if (found == bounds.end()) return fallback;
+    const auto read = found->is_string() ? parseDuration(found->get<std::string>()) : std::nullopt;
+    if (!read) invalid = name;
+    return read.value_or(fallback);
   };
-  const auto number = [&](const char* name, double untold) {
+  const auto number = [&](const char* name, double fallback) {
     const auto found = bounds.find(name);
-    if (found == bounds.end()) return untold;
-    if (!found->is_number()) wrong = name;
-    return found->is_number() ? found->get<double>() : untold;
+    if (found == bounds.end()) return fallback;
+    if (!found->is_number()) invalid = name;
+    return found->is_number() ? found->get<double>() : fallback;
   };
-  settings.drain = span("drain", kDrainUntold);
-  settings.grace = span("grace", kGraceUntold);
-  settings.keyWindow = span("key_window", kKeyWindowUntold);
-  settings.retryWindow = span("retry_window", kRetryWindowUntold);
-  settings.retryRatio = number("retry_ratio", kRetryRatioUntold);
-  settings.retrySlack = number("retry_slack", kRetrySlackUntold);
-  if (!wrong.empty()) return failure("settings", "bound_map." + wrong + " can't be read");
+  settings.drain = span("drain", kDefaultDrain);
+  settings.grace = span("grace", kDefaultGrace);
+  settings.keyWindow = span("key_window", kDefaultKeyWindow);
+  settings.retryWindow = span("retry_window", kDefaultRetryWindow);
+  settings.retryRatio = number("retry_ratio", kDefaultRetryRatio);
+  settings.retrySlack = number("retry_slack", kDefaultRetrySlack);
+  if (!invalid.empty()) return failure("settings", "bound_map." + invalid + " has an invalid value");
   return settings;
 }
 
--- a/src/mesh/configuration/settings.hpp
+++ b/src/mesh/configuration/settings.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// What a process is told at its start: the settings file, checked whole against its schema. It owns nothing
-// else and reads no file by itself.
+// The settings of a mesh process, parsed from the text of the settings file and validated against its schema.
 
 #include <cstdint>
 #include <string>
@@ -18,24 +17,24 @@
   std::string ip;
   std::string zone;
   std::size_t zones = 1;
-  std::vector<Address> seeds;                 // control addresses
-  Address inbound, outbound, ready, control;  // empty where the role does not serve it
-  Address inboundBind;                        // where inbound's requests are taken; others reach inbound
-  std::uint16_t firstPort = 0;                // of those left free for the mesh's own session
+  std::vector<Address> seeds;                 // addresses of control processes
+  Address inbound, outbound, ready, control;  // empty if the role doesn't use it
+  Address inboundBind;                        // address to bind; others connect to `inbound`
+  std::uint16_t firstPort = 0;                // of the range reserved for mesh sessions
   std::uint16_t lastPort = 0;
   bool firstBoot = false;
   std::string dataFolder;
-  std::uint64_t memoryMb = 0;        // 0: not told
-  std::uint64_t descriptors = 0;     // 0: not told
-  ServiceName target;                // of the server on this machine
-  Address server;                    // where that server listens; empty: not told
-  std::uint32_t bearableLosses = 0;  // control machines that may be lost at one time
+  std::uint64_t memoryMb = 0;                // 0: unknown
+  std::uint64_t descriptors = 0;             // 0: unknown
+  ServiceName target;                        // the service of the server on this machine
+  Address server;                            // listen address of that server; empty: unknown
+  std::uint32_t toleratedMachineLosses = 0;  // control machines whose simultaneous loss must be survived
   Span drain{}, grace{}, keyWindow{}, retryWindow{};
   double retryRatio = 0;
   double retrySlack = 0;
 };
 
-/// Fields that it does not know are ignored; a missing or wrong one is named in the failure.
+/// Unknown fields are ignored; the error names a missing or invalid one.
 Result<Settings> readSettings(std::string_view text);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/control/agreement.cpp
+++ b/src/mesh/control/agreement.cpp
@@ -24,7 +24,7 @@
   std::vector<DecidedRegister> registers;
   registers.reserve(items.size());
   for (const Item& item : items) {
-    registers.push_back({registerOf(item), item.print != 0 ? item.print : printOf(item)});
+    registers.push_back({registerOf(item), item.hash != 0 ? item.hash : hashOf(item)});
   }
   return registers;
 }
@@ -159,7 +159,7 @@
   std::map<RegisterId, const Item*> items;
   for (const OrderPtr& order : orders) {
     for (const Item& item : order->items) {
-      if (history_.stateOf(item) == RegisterState::same && built_.inForce->newer(item)) {
+      if (history_.stateOf(item) == RegisterState::same && built_.inForce->isNewer(item)) {
         items.emplace(registerOf(item), &item);
       }
     }
--- a/src/mesh/control/agreement_store.cpp
+++ b/src/mesh/control/agreement_store.cpp
@@ -67,7 +67,7 @@
 AcceptedOrder readOrder(const std::string& text) {
   const json from = json::parse(text);
   std::vector<Item> items;
-  for (const json& item : from.at("items")) items.push_back(itemFrom(item));
+  for (const json& item : from.at("items")) items.push_back(itemFromJson(item));
   return {ballotFrom(from.at("ballot")), makeOrder(std::move(items))};
 }
 
--- a/src/mesh/control/control_node.cpp
+++ b/src/mesh/control/control_node.cpp
@@ -71,7 +71,7 @@
   if (key.rfind(kItemKey, 0) == 0) {
     const json item = json::parse(value, nullptr, false);
     try {
-      items_.merge(itemFrom(item));
+      items_.merge(itemFromJson(item));
     } catch (const json::exception& error) {
       stateLost_ = true;
       return failure("store", "item " + key + " can't be read: " + error.what());
--- a/src/mesh/control/control_node_state.cpp
+++ b/src/mesh/control/control_node_state.cpp
@@ -55,7 +55,7 @@
     head.read = read;
     head.holdsState = identity_.holdsState;
     head.confirmed = confirmed;
-    auto texts = itemsReplies(head, items_.beyond(versions));
+    auto texts = itemsReplies(head, items_.newerThan(versions));
     if (!all) {
       for (const auto& text : texts) sendText(to, text, actions);
       return;
--- a/src/mesh/control/decided_history.hpp
+++ b/src/mesh/control/decided_history.hpp
@@ -35,9 +35,7 @@
   void writeChanges(Effects& effects);
 
   [[nodiscard]] RegisterState stateOf(const RegisterId& id, std::uint64_t print) const;
-  [[nodiscard]] RegisterState stateOf(const Item& item) const {
-    return stateOf(registerOf(item), item.print);
-  }
+  [[nodiscard]] RegisterState stateOf(const Item& item) const { return stateOf(registerOf(item), item.hash); }
   /// Nothing, if the register is open.
   [[nodiscard]] std::optional<DecidedRegister> find(const RegisterId& id) const;
   /// The latest version of an item that is decided, if it is later than that of the register. Sets of voters
--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -85,9 +85,9 @@
       node_.emplace(built_);  // without what an earlier try may have restored in part
       const OpenOutcome outcome = store_.open(entry);
       if (outcome.state == OpenState::opened) return;
-      if (outcome.state == OpenState::foreign) throw std::runtime_error(outcome.error.line());
+      if (outcome.state == OpenState::unrecognized) throw std::runtime_error(outcome.error.line());
       if (!told) log(LogLevel::error, outcome.error.step, outcome.error.peer, outcome.error.what);
-      if (outcome.state == OpenState::unreadable && setStoreAside()) continue;
+      if (outcome.state == OpenState::corrupt && setStoreAside()) continue;
       std::this_thread::sleep_for(kOpenPause);
     }
   }
@@ -187,7 +187,7 @@
           if (const auto found = calls_.find(act.call); found != calls_.end()) {
             if (act.status >= 400) log(LogLevel::info, "change", "", act.body, {{"status", act.status}});
             std::string fields = "Content-Type: application/json\r\n";
-            if (act.retryAfter > Span{0}) fields += "Retry-After: " + writeSeconds(act.retryAfter) + "\r\n";
+            if (act.retryAfter > Span{0}) fields += "Retry-After: " + formatSeconds(act.retryAfter) + "\r\n";
             found->second->answer(act.status, fields, act.body);
             calls_.erase(found);
           }
@@ -290,9 +290,9 @@
   built.keyWindow = settings.keyWindow;
   built.random = std::random_device{}();
   // Of the voters less a quorum any number may be lost; more is to be known before it happens.
-  if (const std::size_t borne = (built.founders - 1) / 2; borne < settings.bearableLosses) {
+  if (const std::size_t borne = (built.founders - 1) / 2; borne < settings.toleratedMachineLosses) {
     log(LogLevel::error, "settings", path, "too few control processes for the losses that are to be borne",
-        {{"voters", built.founders}, {"borne", borne}, {"asked", settings.bearableLosses}});
+        {{"voters", built.founders}, {"borne", borne}, {"asked", settings.toleratedMachineLosses}});
   }
   return ControlProgram(settings, std::move(built), path).run(settings);
 }
--- a/src/mesh/control/message_reader.hpp
+++ b/src/mesh/control/message_reader.hpp
@@ -132,12 +132,12 @@
     require(from.is_object(), "is no item");
     get(memberOf(from, "k"), to.key);
     get(memberOf(from, "g"), to.generation);
-    if (from.contains("p")) get(from["p"], to.print);
+    if (from.contains("p")) get(from["p"], to.hash);
     to.dropped = !from.contains("v");
     if (to.dropped) return;
     if (from.contains("h")) get(from["h"], to.hostname);
     // Before it is copied, which a value nested very deep would not survive.
-    if (const std::string fault = faultOf(to.key.kind, from["v"]); !fault.empty())
+    if (const std::string fault = validateItem(to.key.kind, from["v"]); !fault.empty())
       throw Refusal("holds " + textOf(to.key) + ", which " + fault);
     to.value = from["v"];
     if (to.key.kind == ItemKind::voters) getVoters(to);
--- a/src/mesh/control/operator_calls.cpp
+++ b/src/mesh/control/operator_calls.cpp
@@ -30,7 +30,7 @@
 
 void OperatorCalls::change(Span now, OperatorCallNo call, std::string_view body, bool settled,
                            const VoterSet& set, Effects& effects, ControlActions& actions) {
-  Result<std::vector<Item>> read = readChange(body);
+  Result<std::vector<Item>> read = parseChange(body);
   if (!read) return answer(call, 400, errorBody(read.error().line()), actions);
   if (!settled)
     return answer(call, 503, errorBody("change: not in touch with a majority"), actions, kComeBack);
@@ -91,7 +91,7 @@
       continue;
     }
     if (held.readsBack) {
-      answer(call, 200, items_.standing().dump(), actions);
+      answer(call, 200, items_.activeAsJson().dump(), actions);
       at = calls_.erase(at);
       continue;
     }
--- a/src/mesh/control/order.cpp
+++ b/src/mesh/control/order.cpp
@@ -24,16 +24,15 @@
 OrderPtr makeOrder(std::vector<Item> items) {
   std::vector<std::uint64_t> prints;
   for (Item& item : items) {
-    if (item.print != 0) continue;
-    item.print = printOf(item);
+    if (item.hash != 0) continue;
+    item.hash = hashOf(item);
     item.wire.reset();  // it lacks the print
   }
   // The order in which an operator lists them does not matter.
   std::sort(items.begin(), items.end(), [](const Item& left, const Item& right) {
-    return std::tie(left.key, left.generation, left.print) <
-           std::tie(right.key, right.generation, right.print);
+    return std::tie(left.key, left.generation, left.hash) < std::tie(right.key, right.generation, right.hash);
   });
-  for (const Item& item : items) prints.push_back(item.print);
+  for (const Item& item : items) prints.push_back(item.hash);
   Order order;
   order.id = XXH3_64bits(prints.data(), prints.size() * sizeof(std::uint64_t));
   order.items = std::move(items);
--- a/src/mesh/control/register_acceptor.cpp
+++ b/src/mesh/control/register_acceptor.cpp
@@ -36,7 +36,7 @@
     } else if (rightRegister < leftRegister) {
       ++other;
     } else {
-      if (one->print != other->print) return true;
+      if (one->hash != other->hash) return true;
       ++one;
       ++other;
     }
--- a/src/mesh/control/voter_recovery.cpp
+++ b/src/mesh/control/voter_recovery.cpp
@@ -74,7 +74,7 @@
                            Span uptime, const Agreement& agreement) {
   if (sending_.count(to) == 0 && sending_.size() >= kMostReceivers) return;
   Sending sending;
-  for (auto& bytes : snapshotOf(promises, uptime)) {
+  for (auto& bytes : writeSnapshot(promises, uptime)) {
     SnapshotPart part;
     part.promises = std::move(bytes);
     sending.parts.push_back(std::move(part));
--- a/src/mesh/routing/request_router.cpp
+++ b/src/mesh/routing/request_router.cpp
@@ -10,100 +10,109 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kProcessesUntold = 100;  // until the control plane tells; more than share most slacks
-constexpr std::uint32_t kMostRefusals = 4;     // that may turn a request away before it is given up
-constexpr Span kLeastLeft = 20ms;              // of a client's time; nothing is served in less
-constexpr Span kLeastComeBack = 50ms;          // for a client that is turned away; a queue's shortest time
-constexpr Span kMostComeBack = 400ms;          // clients heed a third of what time they have
-constexpr Span kNoServers = 300ms;             // to come back when none is known; news takes about that long
-constexpr Span kHolderGone = 1s;               // to come back when an earlier run's outcome is not known
-constexpr double kHedgeMean = 3;               // times the mean answer, before another server is asked too
-constexpr double kHedgeAim = 0.5;              // of the aim, before which no other server is asked
-constexpr double kAnswerShare = 0.05;          // of the newest answer in the mean
-constexpr std::uint64_t kSpread = 0x9e3779b97f4a7c15;  // 2^64 / golden ratio, odd: keeps lives apart
-constexpr std::uint32_t kTimeout = 504;
-constexpr std::uint32_t kFailed = 502;
-constexpr std::uint32_t kBusy = 503;
+// Used until the control plane reports the number of processes; high, so that the retry budget is not
+// exceeded.
+constexpr std::size_t kAssumedProcesses = 100;
+// Refusals after which a request is given up.
+constexpr std::uint32_t kMaxRefusals = 4;
+// Requests with less time left are not sent.
+constexpr Span kMinTimeLeft = 20ms;
+constexpr Span kMinRetryAfter = 50ms;
+constexpr Span kMaxRetryAfter = 400ms;
+constexpr Span kNoServerRetryAfter = 300ms;
+constexpr Span kOutcomeUnknownRetryAfter = 1s;
+// A hedged attempt starts after this multiple of the mean answer time, and not before this share of the
+// target time.
+constexpr double kHedgeMeanFactor = 3;
+constexpr double kHedgeTargetShare = 0.5;
+// Weight of the newest answer in the moving average.
+constexpr double kMeanWeight = 0.05;
+// 2^64 / golden ratio: spreads consecutive seeds over all forward origins.
+constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15;
+constexpr std::uint32_t kGatewayTimeout = 504;
+constexpr std::uint32_t kBadGateway = 502;
+constexpr std::uint32_t kServiceUnavailable = 503;
 
 }  // namespace
 
-RequestRouter::RequestRouter(Built built)
-    : built_(std::move(built)),
-      pool_(built_.zone, built_.node, built_.seed),
-      chance_(built_.seed + 1),
-      processes_(kProcessesUntold),
-      // The seed alone may be made of the node's name, which an exclusive or would take out again.
-      origin_(built_.seed * kSpread + std::hash<std::string>{}(built_.node.value)) {}
+RequestRouter::RequestRouter(Config config)
+    : config_(std::move(config)),
+      pool_(config_.zone, config_.node, config_.seed),
+      random_(config_.seed + 1),
+      processCount_(kAssumedProcesses),
+      // The seed may already contain the hash of the node's name by exclusive or, which would cancel here.
+      forwardOrigin_(config_.seed * kGoldenRatio + std::hash<std::string>{}(config_.node.value)) {}
 
-void RequestRouter::processes(std::size_t count) {
-  processes_ = std::max<std::size_t>(count, 1);
-  for (auto& [service, budget] : budgets_) budget.share(built_.allowance, processes_);
+void RequestRouter::setProcessCount(std::size_t count) {
+  processCount_ = std::max<std::size_t>(count, 1);
+  for (auto& [service, budget] : budgets_) budget.share(config_.allowance, processCount_);
 }
 
 RetryBudget& RequestRouter::budget(const ServiceName& service) {
   const auto [found, added] = budgets_.try_emplace(service);
-  if (added) found->second.share(built_.allowance, processes_);
+  if (added) found->second.share(config_.allowance, processCount_);
   return found->second;
 }
 
-Span RequestRouter::hedgeAfter(const Route& route) const {
-  const auto mean = meanAnswer_.find(route.name);
-  const Span byAim = std::chrono::duration_cast<Span>(route.aim * kHedgeAim);
-  if (mean == meanAnswer_.end()) return byAim;
-  return std::max(byAim,
-                  std::chrono::duration_cast<Span>(std::chrono::duration<double>(mean->second * kHedgeMean)));
+Span RequestRouter::hedgeDelay(const Route& route) const {
+  const auto mean = meanSecondsByRoute_.find(route.name);
+  const Span byTarget = std::chrono::duration_cast<Span>(route.targetTime * kHedgeTargetShare);
+  if (mean == meanSecondsByRoute_.end()) return byTarget;
+  return std::max(byTarget, std::chrono::duration_cast<Span>(
+                                std::chrono::duration<double>(mean->second * kHedgeMeanFactor)));
 }
 
-RoutingActions RequestRouter::asked(Span now, CallNo no, const Asked& asked) {
-  RoutingActions acts;
-  auto route = table_.find(asked.host, asked.path);
+RoutingActions RequestRouter::handleRequest(Span now, CallNo no, const ClientRequest& request) {
+  RoutingActions actions;
+  auto route = table_.find(request.host, request.path);
   if (!route) {
-    answer(no, 404, Span{0}, acts);
-    return acts;
+    answer(no, 404, Span{0}, actions);
+    return actions;
   }
   Call call;
   call.started = now;
-  call.deadline = now + std::min(asked.patience.value_or(route->timeout), route->timeout);
-  call.service = route->targetAt(std::uniform_real_distribution<double>(0, 1)(chance_));
-  if (route->kind == RouteKind::pure && route->mostServers > 1) call.hedgeAt = now + hedgeAfter(*route);
+  call.deadline = now + std::min(request.timeout.value_or(route->timeout), route->timeout);
+  call.service = route->pickTarget(std::uniform_real_distribution<double>(0, 1)(random_));
+  if (route->kind == RouteKind::pure && route->maxAttempts > 1) call.hedgeAt = now + hedgeDelay(*route);
   call.route = std::move(route);
   budget(call.service).request(now);
-  Call& kept = calls_.emplace(no, std::move(call)).first->second;
-  if (!sendOn(now, no, kept, acts)) giveUp(now, no, kept, acts);
-  return acts;
+  Call& added = calls_.emplace(no, std::move(call)).first->second;
+  if (!sendToNext(now, no, added, actions)) finishWithoutAnswer(now, no, added, actions);
+  return actions;
 }
 
-// To one more server, if any may take it; no question of the budget.
-bool RequestRouter::sendOn(Span now, CallNo no, Call& call, RoutingActions& acts) {
-  if (call.deadline - now < kLeastLeft) return false;
+// Sends the request to one more server, if there is a candidate. The caller checks the retry budget.
+bool RequestRouter::sendToNext(Span now, CallNo no, Call& call, RoutingActions& actions) {
+  if (call.deadline - now < kMinTimeLeft) return false;
   const bool keyed = call.route->kind == RouteKind::keyed;
-  const auto picked = pool_.pick(now, call.service, keyed, call.been);
+  const auto picked = pool_.pick(now, call.service, keyed, call.triedServers);
   if (!picked) return false;
-  call.been.insert(picked->id);
-  const TryNo sent{++tries_};
-  call.out[sent] = {Try::Kind::request, picked->id, picked->at, picked->life, now};
-  RoutingAction act{RoutingAction::Kind::send, no, sent};
-  act.at = picked->at;
-  act.ask.instance = picked->id;
-  act.ask.service = call.service;
-  act.ask.caller = built_.service;
-  act.ask.left = call.deadline - now;
-  act.ask.aim = std::max(Span{0}, call.started + call.route->aim - now);
-  act.ask.priority = call.route->priority;
-  act.ask.kind = call.route->kind;
-  act.ask.route = call.route->name;
-  if (call.route->kind == RouteKind::effectful) act.ask.id = ForwardId{origin_, sent.value};
-  acts.push_back(std::move(act));
+  call.triedServers.insert(picked->id);
+  const AttemptNo attemptNo{++lastAttempt_};
+  call.pending[attemptNo] = {Attempt::Kind::request, picked->id, picked->at, picked->life, now};
+  RoutingAction action{RoutingAction::Kind::send, no, attemptNo};
+  action.at = picked->at;
+  action.forward.instance = picked->id;
+  action.forward.service = call.service;
+  action.forward.caller = config_.service;
+  action.forward.left = call.deadline - now;
+  action.forward.aim = std::max(Span{0}, call.started + call.route->targetTime - now);
+  action.forward.priority = call.route->priority;
+  action.forward.kind = call.route->kind;
+  action.forward.route = call.route->name;
+  if (call.route->kind == RouteKind::effectful)
+    action.forward.id = ForwardId{forwardOrigin_, attemptNo.value};
+  actions.push_back(std::move(action));
   return true;
 }
 
-// What a request's end says of the server.
-void RequestRouter::learn(Span now, const Try& tried, ForwardResult how, const ForwardReply& told,
-                          std::uint32_t status) {
+// Reports the attempt's outcome to the server pool.
+void RequestRouter::reportOutcome(Span now, const Attempt& attempt, ForwardResult how,
+                                  const ForwardReply& reply, std::uint32_t status) {
   Ending ending = Ending::failed;
-  switch (how == ForwardResult::told ? told.verdict : Verdict::unknown) {
+  switch (how == ForwardResult::replied ? reply.verdict : Verdict::unknown) {
     case Verdict::ran:
-      ending = status >= 500 && !told.repeated ? Ending::erred : Ending::served;
+      ending = status >= 500 && !reply.repeated ? Ending::erred : Ending::served;
       break;
     case Verdict::turnedAway:
     case Verdict::full:
@@ -123,100 +132,102 @@
       break;
     case Verdict::unreachable:
     case Verdict::unknown:
-      ending = how == ForwardResult::told ? Ending::failed : Ending::wayFailed;
+      ending = how == ForwardResult::replied ? Ending::failed : Ending::wayFailed;
       break;
   }
-  pool_.ended(now, tried.instance, ending, told.load);
+  pool_.ended(now, attempt.instance, ending, reply.load);
 }
 
-// The answer of an operation lies with the process that holds its key, if that one still lives.
-void RequestRouter::askHolder(Span now, CallNo no, Call& call, const Holder& holder, RoutingActions& acts) {
-  const TryNo next{++tries_};
-  call.out[next] = {Try::Kind::holder, {}, holder.at, holder.life, now};
-  RoutingAction act{RoutingAction::Kind::send, no, next};
-  act.at = holder.at;
-  act.ask.service = call.service;
-  act.ask.caller = built_.service;
-  act.ask.left = call.deadline - now;
-  act.ask.kind = call.route->kind;
-  act.ask.priority = call.route->priority;
-  act.ask.holder = holder.life;
-  acts.push_back(std::move(act));
+// Asks the process that holds the operation's key for its answer.
+void RequestRouter::queryHolder(Span now, CallNo no, Call& call, const Holder& holder,
+                                RoutingActions& actions) {
+  const AttemptNo next{++lastAttempt_};
+  call.pending[next] = {Attempt::Kind::holder, {}, holder.at, holder.life, now};
+  RoutingAction action{RoutingAction::Kind::send, no, next};
+  action.at = holder.at;
+  action.forward.service = call.service;
+  action.forward.caller = config_.service;
+  action.forward.left = call.deadline - now;
+  action.forward.kind = call.route->kind;
+  action.forward.priority = call.route->priority;
+  action.forward.holder = holder.life;
+  actions.push_back(std::move(action));
 }
 
-// Once, after a connection broke with a request on it that must not be sent again on a guess. The same life
-// of the other process knows whether it came; if it did not, a late copy is turned away there.
-bool RequestRouter::askOutcome(Span now, CallNo no, Call& call, TryNo sent, const Try& broken,
-                               RoutingActions& acts) {
-  const bool asks = call.route->kind == RouteKind::effectful && broken.kind == Try::Kind::request;
-  if (!asks || call.deadline - now < kLeastLeft) return false;
-  const TryNo next{++tries_};
-  call.out[next] = broken;
-  call.out[next].kind = Try::Kind::outcome;
-  RoutingAction act{RoutingAction::Kind::send, no, next};
-  act.at = broken.at;
-  act.ask.instance = broken.instance;
-  act.ask.service = call.service;
-  act.ask.caller = built_.service;
-  act.ask.left = call.deadline - now;
-  act.ask.kind = call.route->kind;
-  act.ask.priority = call.route->priority;
-  act.ask.id = ForwardId{origin_, sent.value};
-  act.ask.outcomeOf = broken.life;
-  acts.push_back(std::move(act));
+// Asks once whether an effectful request arrived before its connection was lost. The same life of the other
+// process knows; if the request had not arrived, that process refuses a late copy of it.
+bool RequestRouter::queryOutcome(Span now, CallNo no, Call& call, AttemptNo attemptNo, const Attempt& lost,
+                                 RoutingActions& actions) {
+  const bool canQuery = call.route->kind == RouteKind::effectful && lost.kind == Attempt::Kind::request;
+  if (!canQuery || call.deadline - now < kMinTimeLeft) return false;
+  const AttemptNo next{++lastAttempt_};
+  call.pending[next] = lost;
+  call.pending[next].kind = Attempt::Kind::outcome;
+  RoutingAction action{RoutingAction::Kind::send, no, next};
+  action.at = lost.at;
+  action.forward.instance = lost.instance;
+  action.forward.service = call.service;
+  action.forward.caller = config_.service;
+  action.forward.left = call.deadline - now;
+  action.forward.kind = call.route->kind;
+  action.forward.priority = call.route->priority;
+  action.forward.id = ForwardId{forwardOrigin_, attemptNo.value};
+  action.forward.outcomeOf = lost.life;
+  actions.push_back(std::move(action));
   return true;
 }
 
-// An earlier run of the operation ended with no answer. Whether that one ran nobody knows, but this request
-// did not, unless a copy of it went another way.
-void RequestRouter::earlierRunUnknown(CallNo no, const Call& call, RoutingActions& acts) {
+// Answers a request whose operation has an earlier run with an unknown outcome. This request itself did not
+// run, unless another attempt of it may have.
+void RequestRouter::answerEarlierRunUnknown(CallNo no, const Call& call, RoutingActions& actions) {
   if (call.mayHaveRun) {
-    answer(no, kFailed, Span{0}, acts);
+    answer(no, kBadGateway, Span{0}, actions);
   } else {
-    answer(no, kBusy, kHolderGone, acts);
+    answer(no, kServiceUnavailable, kOutcomeUnknownRetryAfter, actions);
   }
   calls_.erase(no);
 }
 
-RoutingActions RequestRouter::forwarded(Span now, CallNo no, TryNo sent, ForwardResult how,
-                                        const ForwardReply& told, std::uint32_t status,
-                                        std::shared_ptr<const void> bytes) {
-  RoutingActions acts;
+RoutingActions RequestRouter::forwardEnded(Span now, CallNo no, AttemptNo attemptNo, ForwardResult how,
+                                           const ForwardReply& reply, std::uint32_t status,
+                                           std::shared_ptr<const void> bytes) {
+  RoutingActions actions;
   const auto found = calls_.find(no);
-  if (found == calls_.end() || found->second.out.count(sent) == 0) return acts;
+  if (found == calls_.end() || found->second.pending.count(attemptNo) == 0) return actions;
   Call& call = found->second;
-  const Try tried = call.out.at(sent);
-  call.out.erase(sent);
-  Verdict verdict = how == ForwardResult::told ? told.verdict : Verdict::unknown;
-  // Word that it never came is believed only while the other process surely remembers what came.
-  const bool trusted = tried.kind == Try::Kind::outcome && now - tried.sentAt < kOutcomeTrust;
-  if (verdict == Verdict::neverCame && !trusted) verdict = Verdict::unknown;
+  const Attempt attempt = call.pending.at(attemptNo);
+  call.pending.erase(attemptNo);
+  Verdict verdict = how == ForwardResult::replied ? reply.verdict : Verdict::unknown;
+  // A reply that the request was not received is valid only while the other process still remembers all
+  // requests that arrived.
+  const bool withinTrust = attempt.kind == Attempt::Kind::outcome && now - attempt.sentAt < kOutcomeTrust;
+  if (verdict == Verdict::neverCame && !withinTrust) verdict = Verdict::unknown;
   const bool pure = call.route->kind == RouteKind::pure;
 
-  if (tried.kind == Try::Kind::request) learn(now, tried, how, told, status);
+  if (attempt.kind == Attempt::Kind::request) reportOutcome(now, attempt, how, reply, status);
 
   switch (verdict) {
     case Verdict::ran: {
       ++call.reached;
-      if (!told.repeated && status < 400) {
-        double& mean = meanAnswer_.try_emplace(call.route->name, 0).first->second;
+      if (!reply.repeated && status < 400) {
+        double& mean = meanSecondsByRoute_.try_emplace(call.route->name, 0).first->second;
         const double seconds = std::chrono::duration<double>(now - call.started).count();
-        mean = mean == 0 ? seconds : mean + kAnswerShare * (seconds - mean);
+        mean = mean == 0 ? seconds : mean + kMeanWeight * (seconds - mean);
       }
       call.mayHaveRun = true;
-      // A failure of one server may be no failure of the next.
+      // A pure request that failed may succeed at another server.
       if (pure && status >= 500) {
-        call.lastBytes = bytes;
-        if (!call.out.empty()) return acts;
-        if (call.reached < call.route->mostServers && budget(call.service).take(now) &&
-            sendOn(now, no, call, acts))
-          return acts;
+        call.lastFailure = bytes;
+        if (!call.pending.empty()) return actions;
+        if (call.reached < call.route->maxAttempts && budget(call.service).take(now) &&
+            sendToNext(now, no, call, actions))
+          return actions;
       }
-      RoutingAction act{RoutingAction::Kind::pass, no};
-      act.bytes = std::move(bytes);
-      acts.push_back(std::move(act));
+      RoutingAction action{RoutingAction::Kind::pass, no};
+      action.bytes = std::move(bytes);
+      actions.push_back(std::move(action));
       calls_.erase(found);
-      return acts;
+      return actions;
     }
     case Verdict::full:
     case Verdict::leaving:
@@ -225,107 +236,110 @@
     case Verdict::voteless:
       ++call.refusals;
       if (verdict == Verdict::voteless) {
-        call.quorumBack = std::max(call.quorumBack, told.wait);
-      } else if (told.wait > Span{0}) {
-        call.wait = std::min(call.wait, told.wait);
+        call.quorumRetryAfter = std::max(call.quorumRetryAfter, reply.wait);
+      } else if (reply.wait > Span{0}) {
+        call.shortestWait = std::min(call.shortestWait, reply.wait);
       }
-      // One process may be cut off from the quorum; two are a sign that there is none.
-      if (verdict == Verdict::voteless && ++call.voteless > 1) call.refusals = kMostRefusals;
-      if (!call.out.empty()) return acts;
-      if (tried.kind == Try::Kind::holder) break;  // the holder gave its claim back; the client may ask anew
-      if (call.refusals < kMostRefusals && sendOn(now, no, call, acts)) return acts;
+      // A single process may be cut off from the quorum; a second one suggests that there is none.
+      if (verdict == Verdict::voteless && ++call.voteless > 1) call.refusals = kMaxRefusals;
+      if (!call.pending.empty()) return actions;
+      if (attempt.kind == Attempt::Kind::holder) break;  // the claim was released; the client may retry
+      if (call.refusals < kMaxRefusals && sendToNext(now, no, call, actions)) return actions;
       break;
     case Verdict::turnedAway:
       ++call.reached;
       ++call.refusals;
-      if (!call.out.empty()) return acts;
-      if (call.reached < call.route->mostServers && call.refusals < kMostRefusals &&
-          budget(call.service).take(now) && sendOn(now, no, call, acts))
-        return acts;
+      if (!call.pending.empty()) return actions;
+      if (call.reached < call.route->maxAttempts && call.refusals < kMaxRefusals &&
+          budget(call.service).take(now) && sendToNext(now, no, call, actions))
+        return actions;
       break;
     case Verdict::held:
-      if (tried.kind != Try::Kind::request || !told.holder) break;
-      askHolder(now, no, call, *told.holder, acts);
-      return acts;
+      if (attempt.kind != Attempt::Kind::request || !reply.holder) break;
+      queryHolder(now, no, call, *reply.holder, actions);
+      return actions;
     case Verdict::atWork:
-      answer(no, 409, Span{0}, acts);
+      answer(no, 409, Span{0}, actions);
       calls_.erase(found);
-      return acts;
+      return actions;
     case Verdict::neverCame:
       ++call.refusals;
-      if (call.refusals < kMostRefusals && sendOn(now, no, call, acts)) return acts;
+      if (call.refusals < kMaxRefusals && sendToNext(now, no, call, actions)) return actions;
       break;
     case Verdict::unknown: {
-      if (tried.kind == Try::Kind::holder || (how == ForwardResult::told && told.repeated)) {
-        earlierRunUnknown(no, call, acts);
-        return acts;
+      if (attempt.kind == Attempt::Kind::holder || (how == ForwardResult::replied && reply.repeated)) {
+        answerEarlierRunUnknown(no, call, actions);
+        return actions;
       }
-      if (how == ForwardResult::broken && askOutcome(now, no, call, sent, tried, acts)) return acts;
-      // A question that could not be sent leaves the request as unknown as one that was.
-      if (tried.kind == Try::Kind::outcome) how = ForwardResult::broken;
+      if (how == ForwardResult::connectionLost && queryOutcome(now, no, call, attemptNo, attempt, actions))
+        return actions;
+      // The request's outcome stays unknown, whether or not the query for it was sent.
+      if (attempt.kind == Attempt::Kind::outcome) how = ForwardResult::connectionLost;
       if (how != ForwardResult::notSent) {
         ++call.reached;
         call.mayHaveRun = true;
       }
-      if (!call.out.empty()) return acts;
-      // A keyed request may go to another server: its key is claimed there, and a claim that stands is found.
-      // After word from the server's own process that it may have run it is known to be in vain.
-      const bool again = how == ForwardResult::notSent || pure ||
-                         (call.route->kind == RouteKind::keyed && how != ForwardResult::told);
+      if (!call.pending.empty()) return actions;
+      // A keyed request may go to another server, as claiming its key there finds an existing claim. After a
+      // reply that it may have run, such an attempt could only fail.
+      const bool retryable = how == ForwardResult::notSent || pure ||
+                             (call.route->kind == RouteKind::keyed && how != ForwardResult::replied);
       const bool counted = how != ForwardResult::notSent;
       if (how == ForwardResult::notSent) ++call.refusals;
-      if (again && call.refusals < kMostRefusals &&
-          call.reached < call.route->mostServers + (counted ? 0U : 1U) &&
-          (!counted || budget(call.service).take(now)) && sendOn(now, no, call, acts))
-        return acts;
+      if (retryable && call.refusals < kMaxRefusals &&
+          call.reached < call.route->maxAttempts + (counted ? 0U : 1U) &&
+          (!counted || budget(call.service).take(now)) && sendToNext(now, no, call, actions))
+        return actions;
       break;
     }
   }
-  giveUp(now, no, call, acts);
-  return acts;
+  finishWithoutAnswer(now, no, call, actions);
+  return actions;
 }
 
-// Guards against servers that work, and slots that are held, for nobody.
+// Frees slots and cancels work for clients that have disconnected.
 RoutingActions RequestRouter::abandoned(Span now, CallNo no) {
-  RoutingActions acts;
+  RoutingActions actions;
   const auto found = calls_.find(no);
-  if (found == calls_.end() || found->second.route->kind == RouteKind::keyed) return acts;
-  for (const auto& [sent, tried] : found->second.out) {
-    // That its client left says nothing of the server's health.
-    if (tried.kind == Try::Kind::request) pool_.ended(now, tried.instance, Ending::full, std::nullopt);
-    acts.push_back({RoutingAction::Kind::cancel, no, sent});
+  if (found == calls_.end() || found->second.route->kind == RouteKind::keyed) return actions;
+  for (const auto& [attemptNo, attempt] : found->second.pending) {
+    // A client's disconnect doesn't count against the server.
+    if (attempt.kind == Attempt::Kind::request)
+      pool_.ended(now, attempt.instance, Ending::full, std::nullopt);
+    actions.push_back({RoutingAction::Kind::cancel, no, attemptNo});
   }
   calls_.erase(found);
-  return acts;
+  return actions;
 }
 
-void RequestRouter::giveUp(Span now, CallNo no, Call& call, RoutingActions& acts) {
-  if (!call.out.empty()) return;
-  if (call.lastBytes) {
-    RoutingAction act{RoutingAction::Kind::pass, no};
-    act.bytes = call.lastBytes;
-    acts.push_back(std::move(act));
+void RequestRouter::finishWithoutAnswer(Span now, CallNo no, Call& call, RoutingActions& actions) {
+  if (!call.pending.empty()) return;
+  if (call.lastFailure) {
+    RoutingAction action{RoutingAction::Kind::pass, no};
+    action.bytes = call.lastFailure;
+    actions.push_back(std::move(action));
   } else if (call.mayHaveRun) {
-    answer(no, call.deadline <= now ? kTimeout : kFailed, Span{0}, acts);
+    answer(no, call.deadline <= now ? kGatewayTimeout : kBadGateway, Span{0}, actions);
   } else {
     const bool known = pool_.standing(call.service) > 0;
-    Span wait = call.wait == Span::max() ? (known ? kLeastComeBack : kNoServers) : call.wait;
-    wait = std::clamp(wait, kLeastComeBack, kMostComeBack);
-    wait = std::max(wait, call.quorumBack);
-    answer(no, kBusy, wait, acts);
+    Span wait =
+        call.shortestWait == Span::max() ? (known ? kMinRetryAfter : kNoServerRetryAfter) : call.shortestWait;
+    wait = std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
+    wait = std::max(wait, call.quorumRetryAfter);
+    answer(no, kServiceUnavailable, wait, actions);
   }
   calls_.erase(no);
 }
 
-void RequestRouter::answer(CallNo no, std::uint32_t status, Span comeBack, RoutingActions& acts) {
-  RoutingAction act{RoutingAction::Kind::answer, no};
-  act.status = status;
-  act.comeBack = comeBack;
-  acts.push_back(std::move(act));
+void RequestRouter::answer(CallNo no, std::uint32_t status, Span retryAfter, RoutingActions& actions) {
+  RoutingAction action{RoutingAction::Kind::answer, no};
+  action.status = status;
+  action.retryAfter = retryAfter;
+  actions.push_back(std::move(action));
 }
 
 RoutingActions RequestRouter::tick(Span now) {
-  RoutingActions acts;
+  RoutingActions actions;
   std::vector<CallNo> due;
   for (const auto& [no, call] : calls_) {
     if (std::min(call.deadline, call.hedgeAt) <= now) due.push_back(no);
@@ -333,23 +347,24 @@
   for (const CallNo no : due) {
     Call& call = calls_.at(no);
     if (call.deadline <= now) {
-      // What is still out may have run; nobody waits for it any more.
-      for (const auto& [sent, tried] : call.out) {
-        if (tried.kind == Try::Kind::request) pool_.ended(now, tried.instance, Ending::failed, std::nullopt);
-        if (tried.kind != Try::Kind::holder) call.mayHaveRun = true;
+      // Pending attempts may have run.
+      for (const auto& [attemptNo, attempt] : call.pending) {
+        if (attempt.kind == Attempt::Kind::request)
+          pool_.ended(now, attempt.instance, Ending::failed, std::nullopt);
+        if (attempt.kind != Attempt::Kind::holder) call.mayHaveRun = true;
       }
-      call.out.clear();
-      giveUp(now, no, call, acts);
+      call.pending.clear();
+      finishWithoutAnswer(now, no, call, actions);
       continue;
     }
     call.hedgeAt = Span::max();
-    // One more than the route allows must never be out: those out may all have reached their servers.
-    const std::uint32_t may = call.reached + static_cast<std::uint32_t>(call.out.size());
-    if (may >= call.route->mostServers || pool_.standing(call.service) < 2) continue;
-    if (budget(call.service).take(now)) sendOn(now, no, call, acts);
+    // All pending attempts may have reached their servers, so they count towards the route's limit.
+    const std::uint32_t reachable = call.reached + static_cast<std::uint32_t>(call.pending.size());
+    if (reachable >= call.route->maxAttempts || pool_.standing(call.service) < 2) continue;
+    if (budget(call.service).take(now)) sendToNext(now, no, call, actions);
   }
   pool_.sweep(now);
-  return acts;
+  return actions;
 }
 
 std::optional<Span> RequestRouter::nextTick() const {
--- a/src/mesh/routing/request_router.hpp
+++ b/src/mesh/routing/request_router.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-// The process beside a caller decides: which route a request takes, which server gets it, whether it goes to
-// another, and when it is given up. It owns the requests of this machine that have no final answer yet and
-// what was learned of the servers; it takes inputs and returns what to send and answer, with no I/O and no
-// clock. It must never send what may have run and is not repeatable to a server that could run it again,
-// and never answer 429 or 503 for what may have run.
+// Routes clients' requests in the data-plane process beside the caller: selects the route and the server, and
+// decides on retries, hedging and timeouts. It owns this machine's unanswered requests and what is known of
+// the servers. A state machine without I/O or clock: inputs return the actions to take. Invariants: a request
+// that may have run and is not repeatable is never sent to a server that could run it again, and a request
+// that may have run is never answered with 429 or 503.
 
 #include <cstdint>
 #include <map>
@@ -21,76 +21,79 @@
 
 namespace rackroute::mesh {
 
-using CallNo = Id<struct CallTag, std::uint64_t>;  // one request of a client on this machine
-using TryNo = Id<struct TryTag, std::uint64_t>;    // one time that it was sent to another process
+using CallNo = Id<struct CallTag, std::uint64_t>;        // one request of a client on this machine
+using AttemptNo = Id<struct AttemptTag, std::uint64_t>;  // one attempt to forward a request
 
-/// What decides about a request; its bytes are kept by whoever read them.
-struct Asked {
+/// The parts of a client's request that affect routing; the reader of the connection owns the bytes.
+struct ClientRequest {
   std::string_view host;
   std::string_view path;
-  std::optional<Span> patience;  // that its client will wait
+  std::optional<Span> timeout;  // the client's own
 };
 
-/// What came of one try.
+/// How one attempt ended.
 enum class ForwardResult {
-  told,     // the other process answered
-  notSent,  // no connection came up, or the whole request was never written to it
-  broken,   // it was sent, and the connection ended without a whole answer
-  silent,   // no answer in time
+  replied,         // the other process answered
+  notSent,         // no connection was established, or the request was not written completely
+  connectionLost,  // the request was sent, and the connection closed before a complete answer
+  timedOut,        // no answer in time
 };
 
+/// An action for the caller to take. The comments name the kinds that use each field.
 struct RoutingAction {
   enum class Kind { send, answer, pass, cancel };
   Kind kind = Kind::send;
   CallNo call;
-  TryNo sent{};                         // send, cancel
+  AttemptNo attempt{};                  // send, cancel
   Address at{};                         // send
-  ForwardRequest ask{};                 // send
+  ForwardRequest forward{};             // send
   std::uint32_t status = 0;             // answer
-  Span comeBack{};                      // answer: 0, no advice
-  std::shared_ptr<const void> bytes{};  // pass: the answer that goes to the client
+  Span retryAfter{};                    // answer; 0: none
+  std::shared_ptr<const void> bytes{};  // pass: the answer to relay to the client
 };
 using RoutingActions = std::vector<RoutingAction>;
 
 class RequestRouter {
  public:
-  struct Built {
+  struct Config {
     NodeName node;
     std::string zone;
-    ServiceName service;  // that runs on this machine
+    ServiceName service;  // of the server on this machine
     Allowance allowance;
     std::uint64_t seed = 0;
   };
-  explicit RequestRouter(Built built);
+  explicit RequestRouter(Config config);
 
-  void configured(const Items& items) { table_.read(items); }
-  void told(Span now, const Served& server, bool heard) { pool_.told(now, server, heard); }
-  /// How many data-plane processes share the allowance for further tries.
-  void processes(std::size_t count);
-  RoutingActions asked(Span now, CallNo no, const Asked& asked);
-  /// status: of the server's answer, if the verdict is that it ran.
-  RoutingActions forwarded(Span now, CallNo no, TryNo sent, ForwardResult how, const ForwardReply& told,
-                           std::uint32_t status, std::shared_ptr<const void> bytes);
-  /// Its client has closed its connection and waits for nothing. What may be repeated is cancelled wherever
-  /// it is; an effectful request is, too, and runs on where it has begun to; a keyed one goes on, as a repeat
-  /// may want its answer.
+  void configure(const Items& items) { table_.load(items); }
+  /// connected: whether the server's process has an open control session.
+  void updateServer(Span now, const Served& server, bool connected) { pool_.told(now, server, connected); }
+  /// Sets how many data-plane processes share the retry budget.
+  void setProcessCount(std::size_t count);
+  RoutingActions handleRequest(Span now, CallNo no, const ClientRequest& request);
+  /// status: of the server's answer, if the server ran the request.
+  RoutingActions forwardEnded(Span now, CallNo no, AttemptNo attemptNo, ForwardResult how,
+                              const ForwardReply& reply, std::uint32_t status,
+                              std::shared_ptr<const void> bytes);
+  /// The client has closed its connection. Pending attempts of pure and effectful requests are cancelled; an
+  /// effectful one that a server has started still runs to its end. A keyed request continues, as a repeat
+  /// may ask for its answer.
   RoutingActions abandoned(Span now, CallNo no);
   RoutingActions tick(Span now);
   [[nodiscard]] std::optional<Span> nextTick() const;
   [[nodiscard]] const RouteTable& routes() const { return table_; }
   [[nodiscard]] const ServerPool& servers() const { return pool_; }
-  [[nodiscard]] std::size_t atWork() const { return calls_.size(); }
+  [[nodiscard]] std::size_t inFlight() const { return calls_.size(); }
 
  private:
-  struct Try {
-    /// request: it may run; holder: asks for the answer of an earlier run of its operation, and never runs;
-    /// outcome: asks what came of a request whose connection broke.
+  struct Attempt {
+    /// request: forwards the request, which may run; holder: queries the answer of an earlier run of its
+    /// operation, and never runs; outcome: queries the outcome of a request whose connection was lost.
     enum class Kind { request, holder, outcome };
     Kind kind = Kind::request;
     InstanceId instance;
-    Address at;   // the process beside it
+    Address at;   // the process beside the server
     LifeNo life;  // of that process
-    Span sentAt;  // outcome: the request, not the question
+    Span sentAt;  // outcome: when the request was sent, not the query
   };
   struct Call {
     std::shared_ptr<const Route> route;
@@ -98,36 +101,38 @@
     Span started{};
     Span deadline{};
     Span hedgeAt = Span::max();
-    std::set<InstanceId> been;  // servers that it was sent to, or tried to be
-    std::map<TryNo, Try> out;
-    std::uint32_t reached = 0;   // servers that it may have reached
-    std::uint32_t refusals = 0;  // that did not let it in
-    std::uint32_t voteless = 0;  // of these, for want of a quorum
+    std::set<InstanceId> triedServers;
+    std::map<AttemptNo, Attempt> pending;
+    std::uint32_t reached = 0;   // servers that the request may have reached
+    std::uint32_t refusals = 0;  // attempts that were not admitted
+    std::uint32_t voteless = 0;  // of these, for lack of a quorum
     bool mayHaveRun = false;
-    Span quorumBack{};                      // until there may be a quorum, as refusals told
-    Span wait = Span::max();                // the shortest until there may be room, as refusals told
-    std::shared_ptr<const void> lastBytes;  // a server's answer that it failed, in case nothing better comes
+    Span quorumRetryAfter{};                  // longest advice from refusals for lack of a quorum
+    Span shortestWait = Span::max();          // shortest queue estimate from other refusals
+    std::shared_ptr<const void> lastFailure;  // relayed if no attempt succeeds
   };
-  bool sendOn(Span now, CallNo no, Call& call, RoutingActions& acts);
-  void learn(Span now, const Try& tried, ForwardResult how, const ForwardReply& told, std::uint32_t status);
-  void askHolder(Span now, CallNo no, Call& call, const Holder& holder, RoutingActions& acts);
-  bool askOutcome(Span now, CallNo no, Call& call, TryNo sent, const Try& broken, RoutingActions& acts);
-  void earlierRunUnknown(CallNo no, const Call& call, RoutingActions& acts);
-  void giveUp(Span now, CallNo no, Call& call, RoutingActions& acts);
-  void answer(CallNo no, std::uint32_t status, Span comeBack, RoutingActions& acts);
+  bool sendToNext(Span now, CallNo no, Call& call, RoutingActions& actions);
+  void reportOutcome(Span now, const Attempt& attempt, ForwardResult how, const ForwardReply& reply,
+                     std::uint32_t status);
+  void queryHolder(Span now, CallNo no, Call& call, const Holder& holder, RoutingActions& actions);
+  bool queryOutcome(Span now, CallNo no, Call& call, AttemptNo attemptNo, const Attempt& lost,
+                    RoutingActions& actions);
+  void answerEarlierRunUnknown(CallNo no, const Call& call, RoutingActions& actions);
+  void finishWithoutAnswer(Span now, CallNo no, Call& call, RoutingActions& actions);
+  void answer(CallNo no, std::uint32_t status, Span retryAfter, RoutingActions& actions);
   RetryBudget& budget(const ServiceName& service);
-  [[nodiscard]] Span hedgeAfter(const Route& route) const;
+  [[nodiscard]] Span hedgeDelay(const Route& route) const;
 
-  Built built_;
+  Config config_;
   RouteTable table_;
   ServerPool pool_;
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   std::map<CallNo, Call> calls_;
   std::map<ServiceName, RetryBudget> budgets_;
-  std::map<std::string, double> meanAnswer_;  // seconds, by route
-  std::size_t processes_;
-  std::uint64_t origin_;  // of this life's forwards, unlike any other's
-  std::uint64_t tries_ = 0;
+  std::map<std::string, double> meanSecondsByRoute_;
+  std::size_t processCount_;
+  std::uint64_t forwardOrigin_;  // identifies this life's forwards in the whole mesh
+  std::uint64_t lastAttempt_ = 0;
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/main.cpp
+++ b/src/mesh/sidecar/main.cpp
@@ -37,7 +37,7 @@
   built.admission.server = settings.server;
   built.admission.drain = settings.drain;
   built.admission.keyWindow = settings.keyWindow;
-  built.admission.mostKept = (std::max(settings.memoryMb, kLeastMemoryMb) << 20) / kKeptPart;
+  built.admission.maxCachedBytes = (std::max(settings.memoryMb, kLeastMemoryMb) << 20) / kKeptPart;
   built.controlClient.node = settings.node;
   built.controlClient.at = settings.inbound;
   built.controlClient.zone = settings.zone;
--- a/src/mesh/sidecar/request_messages.cpp
+++ b/src/mesh/sidecar/request_messages.cpp
@@ -39,17 +39,17 @@
 ForwardResult resultOf(RequestOutcome how) {
   switch (how) {
     case RequestOutcome::answered:
-      return ForwardResult::told;
+      return ForwardResult::replied;
     case RequestOutcome::notSent:
     case RequestOutcome::notWhole:  // the other process takes whole requests only
       return ForwardResult::notSent;
     case RequestOutcome::silent:
-      return ForwardResult::silent;
+      return ForwardResult::timedOut;
     case RequestOutcome::broken:
     case RequestOutcome::spoilt:
       break;
   }
-  return ForwardResult::broken;
+  return ForwardResult::connectionLost;
 }
 
 // Without word of the sidecar there, these are of what reads its connections: the request was not taken.
@@ -103,7 +103,7 @@
   if (read) {
     end.told = *read;
   } else {
-    end.result = neverRead(end.status) ? ForwardResult::notSent : ForwardResult::broken;
+    end.result = neverRead(end.status) ? ForwardResult::notSent : ForwardResult::connectionLost;
   }
   return end;
 }
@@ -112,20 +112,20 @@
   ServerEnd end;
   switch (how) {
     case RequestOutcome::answered:
-      end.how = AtServer::answered;
+      end.how = ExecutionResult::answered;
       end.answer.status = answer->status();
       end.answer.notRun = answer->field(kNotRun).has_value() || answer->status() == kNotThatServer;
       end.answer.bytes = answer;
       end.answer.size = answer->body().size() + kHeadAllowance;
       break;
     case RequestOutcome::notSent:
-      end.how = AtServer::notSent;
+      end.how = ExecutionResult::notSent;
       break;
     case RequestOutcome::silent:
-      end.how = AtServer::timedOut;
+      end.how = ExecutionResult::timedOut;
       break;
     case RequestOutcome::spoilt:
-      end.how = AtServer::spoilt;
+      end.how = ExecutionResult::malformed;
       break;
     case RequestOutcome::notWhole:  // a server may begin before it has the whole body
     case RequestOutcome::broken:
--- a/src/mesh/sidecar/request_messages.hpp
+++ b/src/mesh/sidecar/request_messages.hpp
@@ -31,7 +31,7 @@
 
 /// What came of a forward; told: the other sidecar's word, if there is one.
 struct ForwardEnd {
-  ForwardResult result = ForwardResult::broken;
+  ForwardResult result = ForwardResult::connectionLost;
   ForwardReply told;
   std::uint32_t status = 0;
 };
@@ -39,7 +39,7 @@
 
 /// What came of a request at the server here.
 struct ServerEnd {
-  AtServer how = AtServer::broken;
+  ExecutionResult how = ExecutionResult::connectionLost;
   ServerAnswer answer;
 };
 ServerEnd serverEnd(RequestOutcome how, const RequestRef& answer);
--- a/src/mesh/sidecar/server_calls.cpp
+++ b/src/mesh/sidecar/server_calls.cpp
@@ -6,9 +6,9 @@
 
 namespace rackroute::mesh {
 
-Result<Beat> readBeat(std::string_view id, std::string_view body) {
+Result<ServerHeartbeat> readBeat(std::string_view id, std::string_view body) {
   const nlohmann::json text = nlohmann::json::parse(body, nullptr, false);
-  Beat beat;
+  ServerHeartbeat beat;
   beat.id = {std::string(id)};
   try {
     const nlohmann::json& details = text.at("details");
@@ -19,7 +19,7 @@
     beat.capacity = details.value("capacity", 1U);
     beat.draining = observed.at("phase") == "draining";
     beat.seq = observed.at("call_seq").get<std::uint64_t>();
-    beat.coldLeft = readSpan(observed.value("cold_left", std::string("0ms"))).value_or(Span{0});
+    beat.coldLeft = parseDuration(observed.value("cold_left", std::string("0ms"))).value_or(Span{0});
   } catch (const nlohmann::json::exception& error) {
     Error refused = failure("beat", error.what());
     refused.peer = std::string(id);
--- a/src/mesh/sidecar/server_calls.hpp
+++ b/src/mesh/sidecar/server_calls.hpp
@@ -11,6 +11,6 @@
 namespace rackroute::mesh {
 
 /// The body of a beat, of the server with that id. An error names what can't be read of it.
-Result<Beat> readBeat(std::string_view id, std::string_view body);
+Result<ServerHeartbeat> readBeat(std::string_view id, std::string_view body);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/sidecar.cpp
+++ b/src/mesh/sidecar/sidecar.cpp
@@ -20,9 +20,9 @@
 // may be lost.
 constexpr std::size_t kRecordCopies = 2;
 
-ForwardOutcomes::Limits outcomeLimits(const Admission::Built& built) {
+ForwardOutcomes::Limits outcomeLimits(const Admission::Config& built) {
   ForwardOutcomes::Limits limits;
-  limits.answerBytes = built.mostKept / kOutcomePart;
+  limits.answerBytes = built.maxCachedBytes / kOutcomePart;
   return limits;
 }
 
@@ -58,12 +58,12 @@
       case AdmissionAction::Kind::claim:
         claims.claims.emplace_back(act.claim, act.key);
         break;
-      case AdmissionAction::Kind::giveBack:
+      case AdmissionAction::Kind::releaseClaim:
         released.claims.emplace_back(act.claim, act.key);
         break;
-      case AdmissionAction::Kind::tell:
+      case AdmissionAction::Kind::announce:
         // The own caller need not wait for the way round.
-        router_.told(now, act.served, true);
+        router_.updateServer(now, act.served, true);
         servers.servers.push_back({act.served, true});
         out.told.push_back(std::move(act.served));
         break;
@@ -76,9 +76,9 @@
 
 // The forward's answer, also for those who ask what came of it.
 void Sidecar::answer(Span now, AdmissionAction act, SidecarActions& out) {
-  for (const AskNo waiter : outcomes_.ended(now, act.ask, act.told, act.bytes, act.size)) {
+  for (const AskNo waiter : outcomes_.ended(now, act.request, act.reply, act.bytes, act.size)) {
     AdmissionAction same = act;
-    same.ask = waiter;
+    same.request = waiter;
     out.admission.push_back(std::move(same));
   }
   out.admission.push_back(std::move(act));
@@ -95,7 +95,7 @@
         out.control.push_back(std::move(act));
         break;
       case ControlClientAction::Kind::server:
-        router_.told(now, act.news.served, act.news.heard);
+        router_.updateServer(now, act.news.served, act.news.heard);
         take(now, admission_.adopt(now, act.news.served), out);
         break;
       case ControlClientAction::Kind::recorded: {
@@ -123,13 +123,13 @@
           take(now, admission_.claimEnded(now, *ended), out);
         break;
       case ControlClientAction::Kind::life:
-        take(now, admission_.followLife(act.life), out);
+        take(now, admission_.continueAfterLife(act.life), out);
         break;
       case ControlClientAction::Kind::welcomed:
         tellServers(act.at, out);
         break;
       case ControlClientAction::Kind::members:
-        if (controlClient_.members() > 0) router_.processes(controlClient_.members());
+        if (controlClient_.members() > 0) router_.setProcessCount(controlClient_.members());
         break;
     }
   }
@@ -159,21 +159,21 @@
 
 void Sidecar::configure(Span now, SidecarActions& out) {
   readsAt_.reset();
-  router_.configured(controlClient_.items());
+  router_.configure(controlClient_.items());
   take(now, controlClient_.follow(router_.routes().services()), out);
 }
 
-SidecarActions Sidecar::asked(Span now, CallNo no, const Asked& asked) {
+SidecarActions Sidecar::asked(Span now, CallNo no, const ClientRequest& asked) {
   SidecarActions out;
-  out.routing = router_.asked(now, no, asked);
+  out.routing = router_.handleRequest(now, no, asked);
   return out;
 }
 
-SidecarActions Sidecar::forwarded(Span now, CallNo no, TryNo sent, ForwardResult how,
+SidecarActions Sidecar::forwarded(Span now, CallNo no, AttemptNo sent, ForwardResult how,
                                   const ForwardReply& told, std::uint32_t status,
                                   std::shared_ptr<const void> bytes) {
   SidecarActions out;
-  out.routing = router_.forwarded(now, no, sent, how, told, status, std::move(bytes));
+  out.routing = router_.forwardEnded(now, no, sent, how, told, status, std::move(bytes));
   return out;
 }
 
@@ -183,11 +183,11 @@
   ForwardOutcomes::Arrival arrival = outcomes_.arrived(now, no, ask);
   switch (arrival.kind) {
     case ForwardOutcomes::Arrival::Kind::admit:
-      take(now, admission_.asked(now, no, ask, key), out);
+      take(now, admission_.handleRequest(now, no, ask, key), out);
       break;
     case ForwardOutcomes::Arrival::Kind::answer: {
       AdmissionAction act{AdmissionAction::Kind::answer, no};
-      act.told = std::move(arrival.reply);
+      act.reply = std::move(arrival.reply);
       act.bytes = std::move(arrival.bytes);
       out.admission.push_back(std::move(act));
       break;
@@ -198,9 +198,9 @@
   return out;
 }
 
-SidecarActions Sidecar::ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer) {
+SidecarActions Sidecar::ran(Span now, AskNo no, ExecutionResult how, const ServerAnswer& answer) {
   SidecarActions out;
-  take(now, admission_.ran(now, no, how, answer), out);
+  take(now, admission_.executionEnded(now, no, how, answer), out);
   return out;
 }
 
@@ -216,9 +216,9 @@
   return out;
 }
 
-SidecarActions Sidecar::beat(Span now, ServerCallNo call, const Beat& beat) {
+SidecarActions Sidecar::beat(Span now, ServerCallNo call, const ServerHeartbeat& beat) {
   SidecarActions out;
-  take(now, admission_.beat(now, beat), out);
+  take(now, admission_.heartbeat(now, beat), out);
   const bool leaves = beat.draining || beat.gone;
   if (!leaves || departures_.isRecorded(beat.id, beat.gone)) {
     out.answers.push_back({call, true});
--- a/src/mesh/sidecar/sidecar.hpp
+++ b/src/mesh/sidecar/sidecar.hpp
@@ -37,24 +37,24 @@
 class Sidecar {
  public:
   struct Built {
-    RequestRouter::Built router;
-    Admission::Built admission;
+    RequestRouter::Config router;
+    Admission::Config admission;
     ControlClient::Built controlClient;
   };
   explicit Sidecar(Built built);
 
-  SidecarActions asked(Span now, CallNo no, const Asked& asked);
-  SidecarActions forwarded(Span now, CallNo no, TryNo sent, ForwardResult how, const ForwardReply& told,
+  SidecarActions asked(Span now, CallNo no, const ClientRequest& asked);
+  SidecarActions forwarded(Span now, CallNo no, AttemptNo sent, ForwardResult how, const ForwardReply& told,
                            std::uint32_t status, std::shared_ptr<const void> bytes);
   SidecarActions forwardRequested(Span now, AskNo no, const ForwardRequest& ask,
                                   const std::optional<std::string>& key);
-  SidecarActions ran(Span now, AskNo no, AtServer how, const ServerAnswer& answer);
+  SidecarActions ran(Span now, AskNo no, ExecutionResult how, const ServerAnswer& answer);
   /// The client of a request here has closed its connection.
   SidecarActions abandoned(Span now, CallNo no);
   /// The connection that another process's request came on has ended before its answer.
   SidecarActions forwardAbandoned(Span now, AskNo no);
   /// A call of the server here. It is answered at once, or later where it says that it leaves.
-  SidecarActions beat(Span now, ServerCallNo call, const Beat& beat);
+  SidecarActions beat(Span now, ServerCallNo call, const ServerHeartbeat& beat);
   SidecarActions reached(Span now, const Address& control);
   SidecarActions ended(Span now, const Address& control);
   /// One message of a control process; see ControlClient::heard.
@@ -69,7 +69,7 @@
   /// Whether requests are taken: what is in force is known, and read as routes.
   [[nodiscard]] bool serving(Span now) const { return controlClient_.ready(now) && (served_ || !readsAt_); }
   [[nodiscard]] bool ready(Span now) const { return !leaving_ && serving(now); }
-  [[nodiscard]] std::size_t atWork() const { return router_.atWork() + admission_.atWork(); }
+  [[nodiscard]] std::size_t atWork() const { return router_.inFlight() + admission_.inFlight(); }
   [[nodiscard]] const RequestRouter& router() const { return router_; }
   [[nodiscard]] const Admission& admission() const { return admission_; }
   [[nodiscard]] const ControlClient& controlClient() const { return controlClient_; }
--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -121,7 +121,7 @@
     const auto route = sidecar_.router().routes().find(request.field("Host").value_or(""), request.word(1));
     if (!route) return true;
     const Span longest = std::min(patienceOf(request).value_or(route->timeout), route->timeout);
-    return deadline_.takes(now, route->aim, longest);
+    return deadline_.takes(now, route->targetTime, longest);
   }
 
   // A request of a client here.
@@ -131,13 +131,13 @@
     if (!sidecar_.serving(loop_.now())) return connection->answer(503, "Retry-After: 0.3\r\n", "");
     if (deadline_.stopping() && !seesToEnd(*request)) {
       const Span back = std::max(Span{0}, deadline_.endAt() - loop_.now()) + kNextLife;
-      return connection->answer(503, "Retry-After: " + writeSeconds(back) + "\r\n", "");
+      return connection->answer(503, "Retry-After: " + formatSeconds(back) + "\r\n", "");
     }
     const CallNo no{++lastCall_};
-    Asked asked;
+    ClientRequest asked;
     asked.host = request->field("Host").value_or("");
     asked.path = request->word(1);
-    asked.patience = patienceOf(*request);
+    asked.timeout = patienceOf(*request);
     calls_[no] = {connection, request};
     act(sidecar_.asked(loop_.now(), no, asked));
   }
@@ -186,12 +186,12 @@
     if (!call) return connection->answer(known ? 405 : 404, "", "");
     if (call->row->kind == CallKind::readiness)
       return connection->answer(sidecar_.ready(loop_.now()) ? 200 : 503, "", "");
-    Beat beat;
+    ServerHeartbeat beat;
     if (call->row->kind == CallKind::signOff) {
       beat.id = {std::string(call->name)};
       beat.gone = true;
     } else {
-      Result<Beat> read = readBeat(call->name, request.body());
+      Result<ServerHeartbeat> read = readBeat(call->name, request.body());
       if (!read) {
         log(LogLevel::warning, read.error().step, read.error().peer, read.error().what);
         return connection->answer(400, "", "");
@@ -248,13 +248,13 @@
       inside.connection->pass(std::static_pointer_cast<const http::Message>(act.bytes), "");
     } else {
       std::string fields;
-      if (act.comeBack > Span{0}) fields = "Retry-After: " + writeSeconds(act.comeBack) + "\r\n";
+      if (act.retryAfter > Span{0}) fields = "Retry-After: " + formatSeconds(act.retryAfter) + "\r\n";
       inside.connection->answer(act.status, fields, "");
     }
   }
 
   void cancelForward(const RoutingAction& act) {
-    const auto forward = forwards_.find(act.sent);
+    const auto forward = forwards_.find(act.attempt);
     if (forward == forwards_.end()) return;
     forward->second.cancel();
     forwards_.erase(forward);
@@ -262,16 +262,16 @@
 
   void forward(const Inside& inside, const RoutingAction& act) {
     const Span now = loop_.now();
-    forwards_[act.sent] = forwardClient_.send(
-        act.at, forwardMessage(inside.request, act.ask), {}, inside.request->word(0) == "HEAD",
-        now + act.ask.left + kSpare + kForwardSpare,
-        [this, call = act.call, sent = act.sent](RequestOutcome how, RequestRef answer) {
+    forwards_[act.attempt] = forwardClient_.send(
+        act.at, forwardMessage(inside.request, act.forward), {}, inside.request->word(0) == "HEAD",
+        now + act.forward.left + kSpare + kForwardSpare,
+        [this, call = act.call, sent = act.attempt](RequestOutcome how, RequestRef answer) {
           forwarded(call, sent, how, std::move(answer));
         },
-        now + act.ask.left - kUnsent);
+        now + act.forward.left - kUnsent);
   }
 
-  void forwarded(CallNo call, TryNo sent, RequestOutcome how, RequestRef answer) {
+  void forwarded(CallNo call, AttemptNo sent, RequestOutcome how, RequestRef answer) {
     forwards_.erase(sent);
     const ForwardEnd end = forwardEnd(how, answer.get());
     sent_.count(end.told.verdict);
@@ -279,14 +279,14 @@
   }
 
   void act(AdmissionAction& act) {
-    const auto found = asks_.find(act.ask);
+    const auto found = asks_.find(act.request);
     if (found == asks_.end()) return;
     if (act.kind == AdmissionAction::Kind::run) return serve(found->second, act);
-    if (act.kind == AdmissionAction::Kind::cancel) return cancelRun(act.ask);
+    if (act.kind == AdmissionAction::Kind::cancel) return cancelRun(act.request);
     const Inside inside = std::move(found->second);
     asks_.erase(found);
-    const std::string told = replyFields(act.told);
-    received_.count(act.told.verdict);
+    const std::string told = replyFields(act.reply);
+    received_.count(act.reply.verdict);
     if (!act.bytes) return inside.connection->answer(503, told, "");
     std::string fields;
     if (const auto attempt = inside.request->field(kAttempt))
@@ -305,10 +305,10 @@
   void serve(const Inside& inside, const AdmissionAction& act) {
     const std::string attempt(inside.request->field(kAttempt).value_or(""));
     const Span now = loop_.now();
-    runs_[act.ask] = servers_.send(
+    runs_[act.request] = servers_.send(
         act.server, serverMessage(inside.request, act), attempt, inside.request->word(0) == "HEAD",
         now + act.left + kSpare,
-        [this, ask = act.ask](RequestOutcome how, const RequestRef& answer) {
+        [this, ask = act.request](RequestOutcome how, const RequestRef& answer) {
           runs_.erase(ask);
           const ServerEnd end = serverEnd(how, answer);
           this->act(sidecar_.ran(loop_.now(), ask, end.how, end.answer));
@@ -332,8 +332,8 @@
   void tick() {
     if (clients_) {
       const Limits& limits = sidecar_.router().routes().limits();
-      clients_->header = limits.header;
-      clients_->idle = limits.idle;
+      clients_->header = limits.headerTimeout;
+      clients_->idle = limits.idleTimeout;
     }
     act(sidecar_.tick(loop_.now()));
     if (const bool ready = sidecar_.ready(loop_.now()); ready != told_) {
@@ -392,8 +392,8 @@
   std::map<CallNo, Inside> calls_;
   std::map<AskNo, Inside> asks_;
   std::map<ServerCallNo, std::shared_ptr<HttpServerConnection>> serverCalls_;  // without an answer yet
-  std::map<TryNo, HttpClient::InFlight> forwards_;  // to other processes, without an answer yet
-  std::map<AskNo, HttpClient::InFlight> runs_;      // at the server here, without an answer yet
+  std::map<AttemptNo, HttpClient::InFlight> forwards_;  // to other processes, without an answer yet
+  std::map<AskNo, HttpClient::InFlight> runs_;          // at the server here, without an answer yet
   sidecar::Loop::TimerId wake_;
   Span wakeAt_{};
   bool wakes_ = false;
