--- a/src/mesh/storage/database.cpp
+++ b/src/mesh/storage/database.cpp
@@ -8,14 +8,16 @@
 
 using leveldb::Status;
 
-constexpr std::size_t kWriteBuffer = 1 << 20;   // bytes held twice at the worst; what is live is far less
-constexpr int kOpenFiles = 64;                  // LevelDB's floor; the descriptors are for connections
-constexpr const char* kVersionKey = "version";  // of what the folder holds
+constexpr std::size_t kWriteBuffer = 1 << 20;  // bytes
+constexpr int kOpenFiles = 64;                 // LevelDB's minimum
+// Entry with the version of the database's format.
+constexpr const char* kVersionKey = "version";
 constexpr const char* kVersion = "1";
-constexpr const char* kFolder = "/held";             // within the data folder, so that other files do no harm
-constexpr const char* kAsideFolder = "/unreadable";  // the last one that could not be read
+// Folders within the data folder: the database, and the last one that was set aside as corrupt.
+constexpr const char* kDatabaseFolder = "/held";
+constexpr const char* kAsideFolder = "/unreadable";
 
-/// LevelDB's own log is of no use to operators, and would cost renames and writes at each start.
+/// Discards LevelDB's own log, which would cost a rename and writes at each start.
 class SilentLogger final : public leveldb::Logger {
  public:
   void Logv(const char*, std::va_list) override {}
@@ -24,24 +26,24 @@
 }  // namespace
 
 Database::Database(const std::string& dataFolder, FileSystem files)
-    : folder_(dataFolder + kFolder),
+    : folder_(dataFolder + kDatabaseFolder),
       asideFolder_(dataFolder + kAsideFolder),
       files_(files),
       env_(std::move(files)),
-      silent_(std::make_unique<SilentLogger>()) {}
+      logger_(std::make_unique<SilentLogger>()) {}
 
 Database::~Database() = default;
 
 Status Database::openDatabase() {
-  // Guards against a lock on the folder that this process itself still holds after a try that failed.
+  // Releases the lock that a failed earlier attempt may still hold on the folder.
   database_.reset();
-  // Guards against a folder that a loss of power takes back, with all that was acknowledged in it.
-  if (Status made = env_.CreateDir(folder_); !made.ok()) return made;
-  // Guards against names that an earlier process left unsynced, before anything is removed for their sake.
+  // Makes the folder's name durable: a power loss could otherwise remove it with all acknowledged data.
+  if (Status created = env_.CreateDir(folder_); !created.ok()) return created;
+  // Makes names durable that an earlier process did not sync, before files that they replace are removed.
   if (Status synced = files_.syncFolder(folder_); !synced.ok()) return synced;
   leveldb::Options options;
   options.env = &env_;
-  options.info_log = silent_.get();
+  options.info_log = logger_.get();
   options.create_if_missing = true;
   options.write_buffer_size = kWriteBuffer;
   options.max_open_files = kOpenFiles;
@@ -55,38 +57,38 @@
 
 OpenOutcome Database::outcomeOf(const Status& status) const {
   if (status.ok()) return {};
-  const OpenState state = status.IsCorruption() ? OpenState::unreadable : OpenState::refused;
+  const OpenState state = status.IsCorruption() ? OpenState::corrupt : OpenState::unavailable;
   return {state, failure("store", status.ToString(), folder_)};
 }
 
-// An empty folder is ours; one that holds anything must say that it is.
+// An empty database is accepted; any other one must contain the expected version.
 OpenOutcome Database::checkVersion() {
   std::string version;
   const Status status = database_->Get(leveldb::ReadOptions(), kVersionKey, &version);
   if (status.ok() && version == kVersion) return {};
   if (!status.ok() && !status.IsNotFound()) return outcomeOf(status);
-  const std::unique_ptr<leveldb::Iterator> any(database_->NewIterator(leveldb::ReadOptions()));
-  any->SeekToFirst();
-  if (!any->Valid()) return outcomeOf(any->status());
-  return {OpenState::foreign,
-          failure("store", "it holds something else, or was written by a newer version", folder_)};
+  const std::unique_ptr<leveldb::Iterator> iterator(database_->NewIterator(leveldb::ReadOptions()));
+  iterator->SeekToFirst();
+  if (!iterator->Valid()) return outcomeOf(iterator->status());
+  return {OpenState::unrecognized,
+          failure("store", "not a rackroute database, or written by a newer version", folder_)};
 }
 
-OpenOutcome Database::tellAll(const Entry& entry) {
-  leveldb::ReadOptions once;
-  once.fill_cache = false;
-  once.verify_checksums = true;
-  const std::unique_ptr<leveldb::Iterator> at(database_->NewIterator(once));
-  for (at->SeekToFirst(); at->Valid(); at->Next()) {
-    if (at->key() != kVersionKey) entry(at->key().ToString(), at->value().ToString());
+OpenOutcome Database::visitEntries(const EntryVisitor& visit) {
+  leveldb::ReadOptions options;
+  options.fill_cache = false;
+  options.verify_checksums = true;
+  const std::unique_ptr<leveldb::Iterator> iterator(database_->NewIterator(options));
+  for (iterator->SeekToFirst(); iterator->Valid(); iterator->Next()) {
+    if (iterator->key() != kVersionKey) visit(iterator->key().ToString(), iterator->value().ToString());
   }
-  return outcomeOf(at->status());
+  return outcomeOf(iterator->status());
 }
 
-OpenOutcome Database::open(const Entry& entry) {
+OpenOutcome Database::open(const EntryVisitor& visit) {
   OpenOutcome outcome = outcomeOf(openDatabase());
   if (outcome.state == OpenState::opened) outcome = checkVersion();
-  if (outcome.state == OpenState::opened) outcome = tellAll(entry);
+  if (outcome.state == OpenState::opened) outcome = visitEntries(visit);
   usable_ = outcome.state == OpenState::opened;
   return outcome;
 }
@@ -106,16 +108,17 @@
   }
   leveldb::WriteOptions synced;
   synced.sync = true;
-  // Guards against a log that a refused write left half written: what came after it would be lost with it.
+  // After a failed write the log may end in a partial record, and later records would be lost with it. The
+  // next write reopens the database.
   usable_ = database_->Write(synced, &all).ok();
   return usable_;
 }
 
 Result<void> Database::setAside() {
   database_.reset();
-  std::vector<std::string> older;
-  env_.GetChildren(asideFolder_, &older);  // of none there is nothing to drop
-  for (const std::string& name : older) {
+  std::vector<std::string> previous;
+  env_.GetChildren(asideFolder_, &previous);  // fails if there is none; then there is nothing to remove
+  for (const std::string& name : previous) {
     if (name != "." && name != "..") env_.target()->RemoveFile(asideFolder_ + '/' + name);
   }
   env_.RemoveDir(asideFolder_);
--- a/src/mesh/storage/database.hpp
+++ b/src/mesh/storage/database.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// The database under a control process's store: a LevelDB in a folder of its own, on names that last. It owns
-// the database; it blocks while the disk works, and knows no threads. It must never take what a disk merely
-// refuses to give for lost.
+// The database of a control process: LevelDB in a folder of its own, with durable file names. Calls block on
+// the disk, and the class is not thread-safe. A disk error must never be treated as corruption.
 
 #include <functional>
 #include <memory>
@@ -20,55 +19,54 @@
 
 namespace rackroute::mesh {
 
-using Entries = std::vector<std::pair<std::string, std::optional<std::string>>>;  // none: removed
+using Entries = std::vector<std::pair<std::string, std::optional<std::string>>>;  // none: a removal
 
 enum class OpenState {
   opened,
-  refused,     // the disk does not give or take it now; it may later
-  unreadable,  // what is there is damaged, and stays so
-  foreign,     // the folder holds something else, or was written by a newer version
+  unavailable,   // a disk error that may be temporary
+  corrupt,       // permanently damaged
+  unrecognized,  // not a database of this program, or written by a newer version
 };
 
 struct OpenOutcome {
   OpenState state = OpenState::opened;
-  Error error;  // unless it was opened
+  Error error;  // unless opened
 };
 
 class Database {
  public:
-  /// The data folder must be there; the database takes a folder in it.
+  /// The data folder must exist; the database uses a subfolder of it.
   explicit Database(const std::string& dataFolder, FileSystem files = posixFileSystem());
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
   ~Database();
 
-  /// Told of one entry of the database.
-  using Entry = std::function<void(std::string key, std::string value)>;
+  /// Called for each entry of the database.
+  using EntryVisitor = std::function<void(std::string key, std::string value)>;
 
-  /// Opens it and tells of each entry that it holds, in the order of their keys, without keeping them. If the
-  /// outcome is another than `opened`, some entries may have been told all the same, and the caller must
-  /// forget them.
-  OpenOutcome open(const Entry& entry);
-  /// Writes all of them together. Once it returns true no loss of power takes any of it back; otherwise it
-  /// may be there or not, and the next call opens the database anew.
+  /// Opens the database and visits all entries in the order of their keys. If the outcome is not `opened`,
+  /// some entries may have been visited, and the caller must discard them.
+  OpenOutcome open(const EntryVisitor& visit);
+  /// Writes all batches atomically. If it returns true, they are durable; otherwise they may or may not have
+  /// been written, and the next call reopens the database.
   bool write(const std::vector<const Entries*>& batches);
-  /// Moves a database that is unreadable out of the way, for whoever wants to look at it, and drops the one
-  /// that was moved before. The next open() begins with an empty one.
+  /// Moves a corrupt database to the aside folder for inspection, replacing the previous one there. The next
+  /// open() creates an empty database.
   Result<void> setAside();
 
  private:
   leveldb::Status openDatabase();
   OpenOutcome checkVersion();
-  OpenOutcome tellAll(const Entry& entry);
+  OpenOutcome visitEntries(const EntryVisitor& visit);
   [[nodiscard]] OpenOutcome outcomeOf(const leveldb::Status& status) const;
 
   std::string folder_;
   std::string asideFolder_;
   FileSystem files_;
   DurableEnv env_;
-  std::unique_ptr<leveldb::Logger> silent_;
+  std::unique_ptr<leveldb::Logger> logger_;
   std::unique_ptr<leveldb::DB> database_;
-  bool usable_ = false;  // database_ is open, and took the last write
+  bool usable_ = false;  // database_ is open, and the last write succeeded
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/storage/durable_env.cpp
+++ b/src/mesh/storage/durable_env.cpp
@@ -16,7 +16,7 @@
 
 using leveldb::Status;
 
-constexpr const char* kCurrentFile = "CURRENT";  // holds the name of the manifest in force
+constexpr const char* kCurrentFile = "CURRENT";  // contains the name of the current manifest
 constexpr const char* kManifestPrefix = "MANIFEST-";
 
 std::string folderOf(const std::string& path) {
@@ -36,10 +36,10 @@
   return status;
 }
 
-/// A file that was just made: its first sync also syncs its folder.
-class NewFile final : public leveldb::WritableFile {
+/// A file whose first sync also syncs its folder.
+class SyncedNameFile final : public leveldb::WritableFile {
  public:
-  NewFile(leveldb::WritableFile* file, std::function<Status()> syncFolder)
+  SyncedNameFile(leveldb::WritableFile* file, std::function<Status()> syncFolder)
       : file_(file), syncFolder_(std::move(syncFolder)) {}
 
   Status Append(const leveldb::Slice& data) override { return file_->Append(data); }
@@ -59,25 +59,25 @@
   bool nameSynced_ = false;
 };
 
-/// The first bytes of a file.
-class FileStart final : public leveldb::SequentialFile {
+/// Reads only the given number of bytes from the start of a file.
+class FilePrefix final : public leveldb::SequentialFile {
  public:
-  FileStart(leveldb::SequentialFile* file, std::size_t size) : file_(file), left_(size) {}
+  FilePrefix(leveldb::SequentialFile* file, std::size_t size) : file_(file), remaining_(size) {}
 
-  Status Read(std::size_t most, leveldb::Slice* result, char* scratch) override {
-    Status read = file_->Read(std::min(most, left_), result, scratch);
-    if (read.ok()) left_ -= result->size();
+  Status Read(std::size_t limit, leveldb::Slice* result, char* scratch) override {
+    Status read = file_->Read(std::min(limit, remaining_), result, scratch);
+    if (read.ok()) remaining_ -= result->size();
     return read;
   }
   Status Skip(std::uint64_t size) override {
-    const std::size_t skipped = std::min(static_cast<std::size_t>(size), left_);
-    left_ -= skipped;
+    const std::size_t skipped = std::min(static_cast<std::size_t>(size), remaining_);
+    remaining_ -= skipped;
     return file_->Skip(skipped);
   }
 
  private:
   std::unique_ptr<leveldb::SequentialFile> file_;
-  std::size_t left_;
+  std::size_t remaining_;
 };
 
 bool isManifest(const std::string& path) { return nameOf(path).starts_with(kManifestPrefix); }
@@ -88,17 +88,18 @@
 
 leveldb::WritableFile* DurableEnv::withDurableName(const std::string& name,
                                                    leveldb::WritableFile* file) const {
-  return new NewFile(file, [sync = files_.syncFolder, folder = folderOf(name)] { return sync(folder); });
+  return new SyncedNameFile(file,
+                            [sync = files_.syncFolder, folder = folderOf(name)] { return sync(folder); });
 }
 
-// Guards against a loss of power while a manifest was written.
+// A power loss may have interrupted a write to the manifest.
 Status DurableEnv::NewSequentialFile(const std::string& name, leveldb::SequentialFile** file) {
   Status opened = target()->NewSequentialFile(name, file);
   if (!opened.ok() || !isManifest(name)) return opened;
   std::string manifest;
   Status read = leveldb::ReadFileToString(target(), name, &manifest);
   if (read.ok()) {
-    *file = new FileStart(*file, readableManifestSize(manifest));
+    *file = new FilePrefix(*file, readableManifestSize(manifest));
   } else {
     delete std::exchange(*file, nullptr);
   }
@@ -106,9 +107,9 @@
 }
 
 Status DurableEnv::NewWritableFile(const std::string& name, leveldb::WritableFile** file) {
-  Status made = target()->NewWritableFile(name, file);
-  if (made.ok()) *file = withDurableName(name, *file);
-  return made;
+  Status created = target()->NewWritableFile(name, file);
+  if (created.ok()) *file = withDurableName(name, *file);
+  return created;
 }
 
 Status DurableEnv::NewAppendableFile(const std::string& name, leveldb::WritableFile** file) {
@@ -126,22 +127,22 @@
   return files_.syncFolder(folderOf(to));
 }
 
-// Guards against a sync of the folder that fails after CURRENT was renamed: LevelDB takes the change for
-// failed and removes the new manifest, which CURRENT names by then.
+// If the sync of the folder fails after CURRENT was renamed, LevelDB treats the change as failed and removes
+// the new manifest, although CURRENT already refers to it.
 Status DurableEnv::RemoveFile(const std::string& name) {
   if (isManifest(name)) {
     std::string current;
     const Status read = leveldb::ReadFileToString(target(), folderOf(name) + '/' + kCurrentFile, &current);
-    const bool mayBeInForce = read.ok() ? current == nameOf(name) + '\n' : !read.IsNotFound();
-    if (mayBeInForce) return Status::IOError(name, "may be the manifest in force");
+    const bool mayBeCurrent = read.ok() ? current == nameOf(name) + '\n' : !read.IsNotFound();
+    if (mayBeCurrent) return Status::IOError(name, "may be the current manifest");
   }
   return target()->RemoveFile(name);
 }
 
-// Guards also against a folder that an earlier process made and did not live to sync.
+// An earlier process may have created the folder and ended before the sync, so it is synced in any case.
 Status DurableEnv::CreateDir(const std::string& folder) {
-  const Status made = target()->CreateDir(folder);
-  if (!made.ok() && !target()->FileExists(folder)) return made;
+  const Status created = target()->CreateDir(folder);
+  if (!created.ok() && !target()->FileExists(folder)) return created;
   return files_.syncFolder(folderOf(folder));
 }
 
--- a/src/mesh/storage/durable_env.hpp
+++ b/src/mesh/storage/durable_env.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-// LevelDB's environment on files whose names last. LevelDB syncs what it writes, but not the folder after it
-// has made, renamed or removed a file, so that a loss of power may take back each of these by itself: the
-// database is then unreadable, or silently older than what it acknowledged. Here a name is on disk before
-// anything rests on it. It owns no files and decides nothing else.
+// A LevelDB environment with durable file names. LevelDB syncs file contents, but not the folder after it
+// creates, renames or removes a file, so a power loss may undo these operations one by one: the database is
+// then unreadable, or silently older than what it acknowledged. This environment syncs each name before
+// anything depends on it.
 
 #include <leveldb/env.h>
 
@@ -13,10 +13,10 @@
 
 namespace rackroute::mesh {
 
-/// The file system under a store: LevelDB's view of it, and the one call which that lacks.
+/// The file system under a store: LevelDB's environment and the folder sync that it lacks.
 struct FileSystem {
-  leveldb::Env* env = nullptr;  // must outlive whoever uses it
-  /// Returns once all names that were made, renamed or removed in that folder before are on disk.
+  leveldb::Env* env = nullptr;  // must outlive its users
+  /// Makes all earlier creations, renames and removals in the folder durable.
   std::function<leveldb::Status(const std::string& folder)> syncFolder;
 };
 
@@ -27,16 +27,16 @@
  public:
   explicit DurableEnv(FileSystem files) : EnvWrapper(files.env), files_(std::move(files)) {}
 
-  /// Of a manifest without the torn record that a loss of power may have left at its end.
+  /// Leaves out a torn record at the end of a manifest, as a power loss may have left it.
   leveldb::Status NewSequentialFile(const std::string& name, leveldb::SequentialFile** file) override;
-  /// A file's name is on disk once its first sync returns.
+  /// The file's name is durable once its first sync returns.
   leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** file) override;
   leveldb::Status NewAppendableFile(const std::string& name, leveldb::WritableFile** file) override;
-  /// The new name is on disk when it returns, so that what the old one led to may be removed after it.
+  /// The new name is durable on return, so the file that it replaces may be removed.
   leveldb::Status RenameFile(const std::string& from, const std::string& to) override;
-  /// Refuses to remove a manifest that the database's CURRENT may name.
+  /// Refuses to remove a manifest that CURRENT may refer to.
   leveldb::Status RemoveFile(const std::string& name) override;
-  /// The folder is there and its name on disk when it succeeds, whether it was there before or not.
+  /// Succeeds if the folder exists, new or old, and its name is durable.
   leveldb::Status CreateDir(const std::string& folder) override;
 
  private:
--- a/src/mesh/storage/manifest_tail.cpp
+++ b/src/mesh/storage/manifest_tail.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t kBlock = 32768;
 constexpr std::size_t kHeader = 7;      // checksum, length, type
 constexpr std::size_t kLengthAt = 4;    // in the header; two bytes
-constexpr std::size_t kChecksumAt = 6;  // the checksum covers the type and what follows
+constexpr std::size_t kChecksumAt = 6;  // the checksum covers the type and the data
 constexpr std::uint32_t kMaskDelta = 0xa282ead8;
 
 using Crc32c = boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true>;
@@ -27,8 +27,8 @@
   return (checksum >> 15 | checksum << 17) + kMaskDelta;
 }
 
-/// Of the whole record at the start of these bytes; 0: there is none.
-std::size_t sizeOfRecord(std::string_view block) {
+/// Size of the complete record at the start of the block; 0: there is none.
+std::size_t recordSize(std::string_view block) {
   if (block.size() < kHeader) return 0;
   const std::size_t size = kHeader + littleEndian(block.substr(kLengthAt, 2));
   if (size > block.size()) return 0;
@@ -44,10 +44,10 @@
   for (std::size_t start = 0; start < manifest.size(); start += kBlock) {
     const std::string_view block = manifest.substr(start, kBlock);
     std::size_t at = 0;
-    while (const std::size_t size = sizeOfRecord(block.substr(at))) at += size;
+    while (const std::size_t size = recordSize(block.substr(at))) at += size;
     if (torn && at > 0) return manifest.size();
     if (!torn) readable = start + at;
-    // What is left of a block that can hold no header is unused.
+    // The end of a block that is too short for a header is unused.
     torn = torn || block.size() - at >= kHeader;
   }
   return readable;
--- a/src/mesh/storage/manifest_tail.hpp
+++ b/src/mesh/storage/manifest_tail.hpp
@@ -1,16 +1,16 @@
 #pragma once
 
-// The end of a LevelDB manifest after a loss of power: its last record may be torn, if it was being written.
-// LevelDB takes that for damage and does not open, though nothing rests on a record that was never synced.
-// It reads the format of LevelDB's logs: blocks of 32 KiB, filled with records that each carry a checksum.
+// Detects a torn record at the end of a LevelDB manifest, as a power loss during a write leaves it. LevelDB
+// reports it as corruption and refuses to open, although nothing depends on a record that was never synced.
+// The format is that of LevelDB's logs: blocks of 32 KiB with records that each have a checksum.
 
 #include <cstddef>
 #include <string_view>
 
 namespace rackroute::mesh {
 
-/// How many bytes of the manifest are to be read: all of them but a torn record at the end. A damaged record
-/// with a whole one in a later block is no torn end; all is to be read then, so that it is told of.
+/// Size of the manifest without a torn record at its end. A damaged record that is followed by a complete one
+/// in a later block is corruption: the full size is returned then, so that LevelDB reports it.
 std::size_t readableManifestSize(std::string_view manifest);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/storage/promise_journal.cpp
+++ b/src/mesh/storage/promise_journal.cpp
@@ -15,23 +15,26 @@
 using nlohmann::json;
 using Milliseconds = std::chrono::milliseconds;
 
-constexpr std::string_view kRecord = "p/";
-constexpr std::string_view kOldEntry = "k/";
+constexpr std::string_view kRecordPrefix = "p/";
+constexpr std::string_view kOldEntryPrefix = "k/";
 constexpr std::size_t kRecordKeySize = 2 + 8 + 8;
 constexpr std::uint8_t kVersion = 1;
-constexpr std::uint8_t kReleased = 1;                     // a flag; any other is of a newer version
-constexpr std::size_t kLeastClaimer = 1 + 8;              // bytes; bounds the counts that are believed
-constexpr std::size_t kLeastChange = 1 + 16 + 1 + 1;      // bytes, of a record
-constexpr std::size_t kLeastEntry = 16 + 1 + 1 + 1;       // bytes, of a snapshot
-constexpr std::size_t kMostNumber = 10;                   // bytes of a 64 bit number as LEB128
-constexpr std::size_t kMostEntry = 16 + 3 * kMostNumber;  // bytes, of a snapshot
-constexpr std::size_t kMostPart = 64 * 1024;  // bytes; a part holds up a session no longer than votes
-constexpr std::size_t kMostHead = 1 + 2 * kMostNumber;  // bytes of a part but for claimers and entries
-constexpr std::size_t kRemovedACall = 512;              // records; some seconds' worth
-constexpr Milliseconds kMostAge = std::chrono::hours(24 * 365);   // beyond any window; times can't overflow
-constexpr Span kMostUptime = std::chrono::hours(24 * 365 * 100);  // beyond any; times can't overflow
-
-/// Whose claims a record names: they stand in it once.
+constexpr std::uint8_t kReleased = 1;  // a flag; other flags belong to newer versions
+// Minimum sizes in bytes, which bound the counts that a reader accepts.
+constexpr std::size_t kMinClaimerSize = 1 + 8;
+constexpr std::size_t kMinChangeSize = 1 + 16 + 1 + 1;  // of a record
+constexpr std::size_t kMinEntrySize = 16 + 1 + 1 + 1;   // of a snapshot
+// Maximum sizes in bytes.
+constexpr std::size_t kMaxNumberSize = 10;                          // of a 64 bit number as LEB128
+constexpr std::size_t kMaxEntrySize = 16 + 3 * kMaxNumberSize;      // of a snapshot
+constexpr std::size_t kMaxPartSize = 64 * 1024;                     // bounds the delay of other messages
+constexpr std::size_t kMaxPartHeaderSize = 1 + 2 * kMaxNumberSize;  // without claimers and entries
+constexpr std::size_t kMaxRemovalsPerCall = 512;
+// Bounds on values that are read, which avoid overflows.
+constexpr Milliseconds kMaxAge = std::chrono::hours(24 * 365);
+constexpr Span kMaxUptime = std::chrono::hours(24 * 365 * 100);
+
+/// The process of one or more claims; stored once in each record.
 struct Claimer {
   Address at;
   LifeNo life;
@@ -55,17 +58,17 @@
   std::string bytes_;
 };
 
-/// Reads no further than the bytes go; after the first thing that is not there all is refused.
+/// Reads within the bounds of the input. After the first read beyond the end, failed() is true.
 class Reader {
  public:
-  explicit Reader(std::string_view bytes) : left_(bytes) {}
+  explicit Reader(std::string_view bytes) : remaining_(bytes) {}
   std::uint8_t byte() {
-    if (left_.empty()) {
+    if (remaining_.empty()) {
       failed_ = true;
       return 0;
     }
-    const auto value = static_cast<std::uint8_t>(left_.front());
-    left_.remove_prefix(1);
+    const auto value = static_cast<std::uint8_t>(remaining_.front());
+    remaining_.remove_prefix(1);
     return value;
   }
   std::uint64_t number() {
@@ -86,26 +89,26 @@
     return value;
   }
   std::string text(std::uint64_t size) {
-    if (size > left_.size()) {
+    if (size > remaining_.size()) {
       failed_ = true;
       return {};
     }
-    std::string value(left_.substr(0, size));
-    left_.remove_prefix(size);
+    std::string value(remaining_.substr(0, size));
+    remaining_.remove_prefix(size);
     return value;
   }
-  /// How many follow of what takes at least so many bytes each.
-  std::uint64_t count(std::size_t leastBytes) {
+  /// Reads the number of elements that follow, each of at least that size.
+  std::uint64_t count(std::size_t minSize) {
     const std::uint64_t value = number();
-    if (value <= left_.size() / leastBytes) return value;
+    if (value <= remaining_.size() / minSize) return value;
     failed_ = true;
     return 0;
   }
   [[nodiscard]] bool failed() const { return failed_; }
-  [[nodiscard]] bool atEnd() const { return !failed_ && left_.empty(); }
+  [[nodiscard]] bool atEnd() const { return !failed_ && remaining_.empty(); }
 
  private:
-  std::string_view left_;
+  std::string_view remaining_;
   bool failed_ = false;
 };
 
@@ -129,13 +132,13 @@
 };
 
 std::string assemble(const ClaimerTable& claimers, std::size_t count, const Writer& entries) {
-  Writer whole;
-  whole.byte(kVersion);
-  whole.number(claimers.count());
-  whole.text(claimers.bytes());
-  whole.number(count);
-  whole.text(entries.bytes());
-  return whole.bytes();
+  Writer output;
+  output.byte(kVersion);
+  output.number(claimers.count());
+  output.text(claimers.bytes());
+  output.number(count);
+  output.text(entries.bytes());
+  return output.bytes();
 }
 
 void writePrint(Writer& writer, const KeyPrint& print) {
@@ -149,7 +152,7 @@
 }
 
 std::vector<Claimer> readClaimers(Reader& reader) {
-  std::vector<Claimer> claimers(reader.count(kLeastClaimer));
+  std::vector<Claimer> claimers(reader.count(kMinClaimerSize));
   for (Claimer& claimer : claimers) {
     claimer.at = {reader.text(reader.number())};
     claimer.life = {reader.fixed()};
@@ -157,7 +160,7 @@
   return claimers;
 }
 
-/// None: the entry names a claimer that is not in the table.
+/// None: the entry refers to a claimer that is not in the table.
 std::optional<Holder> readHolder(Reader& reader, const std::vector<Claimer>& claimers) {
   const std::uint64_t index = reader.number();
   const ClaimNo no{reader.number()};
@@ -166,7 +169,7 @@
 }
 
 std::string recordKey(Span uptime, std::uint64_t number) {
-  std::string key(kRecord);
+  std::string key(kRecordPrefix);
   for (const std::uint64_t part : {static_cast<std::uint64_t>(uptime.count()), number}) {
     for (int i = 7; i >= 0; --i) key += static_cast<char>(part >> (8 * i));
   }
@@ -181,24 +184,24 @@
 
 Result<std::vector<PromiseJournal::Change>> readChanges(const std::string& value) {
   Reader reader(value);
-  if (reader.byte() != kVersion) return failure("promise journal", "a record is of another version");
+  if (reader.byte() != kVersion) return failure("promise journal", "a record has an unknown version");
   const std::vector<Claimer> claimers = readClaimers(reader);
-  std::vector<PromiseJournal::Change> changes(reader.count(kLeastChange));
+  std::vector<PromiseJournal::Change> changes(reader.count(kMinChangeSize));
   for (PromiseJournal::Change& change : changes) {
     const std::uint8_t flags = reader.byte();
     change.released = flags == kReleased;
     change.key = readPrint(reader);
     const auto holder = readHolder(reader, claimers);
-    if (!holder || flags > kReleased) return failure("promise journal", "a record is torn");
+    if (!holder || flags > kReleased) return failure("promise journal", "a record is malformed");
     change.holder = *holder;
   }
-  if (!reader.atEnd()) return failure("promise journal", "a record is torn");
+  if (!reader.atEnd()) return failure("promise journal", "a record is malformed");
   return changes;
 }
 
-std::string oldKey(const KeyPrint& print) { return std::string(kOldEntry) + textOf(print); }
+std::string oldKey(const KeyPrint& print) { return std::string(kOldEntryPrefix) + textOf(print); }
 
-/// Of an entry of the old format: [address, life, claim, time of day]. None: it is no such entry.
+/// Reads an entry of the old format: [address, life, claim, time of day]. None: it is malformed.
 std::optional<Holder> readOldHolder(const std::string& value) {
   const json entry = json::parse(value, nullptr, false);
   if (!entry.is_array() || entry.size() < 3) return std::nullopt;
@@ -210,19 +213,19 @@
 }  // namespace
 
 Result<bool> PromiseJournal::restore(const std::string& key, const std::string& value, Promises& promises) {
-  if (key.starts_with(kRecord)) return restoreRecord(key, value, promises);
-  if (key.starts_with(kOldEntry)) return restoreOldEntry(key, value);
+  if (key.starts_with(kRecordPrefix)) return restoreRecord(key, value, promises);
+  if (key.starts_with(kOldEntryPrefix)) return restoreOldEntry(key, value);
   return false;
 }
 
 Result<bool> PromiseJournal::restoreRecord(const std::string& key, const std::string& value,
                                            Promises& promises) {
   const std::string_view bytes(key);
-  if (bytes.size() != kRecordKeySize) return failure("promise journal", "a record's key is of another size");
+  if (bytes.size() != kRecordKeySize) return failure("promise journal", "a record's key has the wrong size");
   const Span uptime(static_cast<std::int64_t>(readBigEndian(bytes.substr(2, 8))));
   const std::uint64_t number = readBigEndian(bytes.substr(10));
-  if (uptime < Span{0} || uptime > kMostUptime)
-    return failure("promise journal", "a record's uptime is none");
+  if (uptime < Span{0} || uptime > kMaxUptime)
+    return failure("promise journal", "a record's uptime is out of range");
   auto changes = readChanges(value);
   if (!changes) return std::move(changes).error();
   for (const Change& change : changes.value()) {
@@ -234,23 +237,23 @@
     }
   }
   records_.push_back({uptime, number});
-  resumed_ = std::max(resumed_, uptime);
+  restoredUptime_ = std::max(restoredUptime_, uptime);
   lastNumber_ = std::max(lastNumber_, number);
   return true;
 }
 
 Result<bool> PromiseJournal::restoreOldEntry(const std::string& key, const std::string& value) {
-  const auto print = printFrom(std::string_view(key).substr(kOldEntry.size()));
-  if (!print) return failure("promise journal", "an old entry's key is none");
+  const auto print = printFrom(std::string_view(key).substr(kOldEntryPrefix.size()));
+  if (!print) return failure("promise journal", "the key of an entry in the old format is malformed");
   const auto holder = readOldHolder(value);
-  if (!holder) return failure("promise journal", "an old entry is torn");
+  if (!holder) return failure("promise journal", "an entry in the old format is malformed");
   oldFormat_[*print] = *holder;
   return true;
 }
 
 Span PromiseJournal::resume(Promises& promises) {
-  for (const auto& [key, holder] : oldFormat_) promises.learn(resumed_, key, holder);
-  return resumed_;
+  for (const auto& [key, holder] : oldFormat_) promises.learn(restoredUptime_, key, holder);
+  return restoredUptime_;
 }
 
 void PromiseJournal::release(const Change& change) {
@@ -270,7 +273,7 @@
     entries.number(change.holder.no.value);
     if (change.released) release(change);
   }
-  // Guards against an uptime that steps back: the order of the keys is that of the records.
+  // Keys must sort in the order of the records, even if the uptime steps back.
   if (!records_.empty()) uptime = std::max(uptime, records_.back().uptime);
   records_.push_back({uptime, ++lastNumber_});
   return {recordKey(uptime, lastNumber_), assemble(claimers, changes.size(), entries)};
@@ -278,14 +281,14 @@
 
 std::vector<StoreEntry> PromiseJournal::expire(Span uptime, Span keep) {
   std::vector<StoreEntry> removals;
-  const auto room = [&] { return removals.size() < kRemovedACall; };
-  for (; room() && !oldReleased_.empty(); oldReleased_.pop_back())
+  const auto hasCapacity = [&] { return removals.size() < kMaxRemovalsPerCall; };
+  for (; hasCapacity() && !oldReleased_.empty(); oldReleased_.pop_back())
     removals.emplace_back(oldKey(oldReleased_.back()), std::nullopt);
-  while (room() && !oldFormat_.empty() && resumed_ + keep <= uptime) {
+  while (hasCapacity() && !oldFormat_.empty() && restoredUptime_ + keep <= uptime) {
     removals.emplace_back(oldKey(oldFormat_.begin()->first), std::nullopt);
     oldFormat_.erase(oldFormat_.begin());
   }
-  for (; room() && !records_.empty() && records_.front().uptime + keep <= uptime; records_.pop_front())
+  for (; hasCapacity() && !records_.empty() && records_.front().uptime + keep <= uptime; records_.pop_front())
     removals.emplace_back(recordKey(records_.front().uptime, records_.front().number), std::nullopt);
   return removals;
 }
@@ -302,7 +305,7 @@
   return removals;
 }
 
-std::vector<std::vector<std::uint8_t>> snapshotOf(const Promises& promises, Span uptime) {
+std::vector<std::vector<std::uint8_t>> writeSnapshot(const Promises& promises, Span uptime) {
   std::vector<std::vector<std::uint8_t>> parts;
   ClaimerTable claimers;
   Writer entries;
@@ -316,9 +319,11 @@
     count = 0;
   };
   promises.each([&](const KeyPrint& key, const Holder& holder, Span at) {
-    const std::size_t next = kMostEntry + kMostNumber + holder.at.value.size() + sizeof(holder.life.value);
-    if (kMostHead + claimers.bytes().size() + entries.bytes().size() + next > kMostPart) finishPart();
-    // Rounded down, so that the reader keeps it no shorter.
+    const std::size_t next =
+        kMaxEntrySize + kMaxNumberSize + holder.at.value.size() + sizeof(holder.life.value);
+    if (kMaxPartHeaderSize + claimers.bytes().size() + entries.bytes().size() + next > kMaxPartSize)
+      finishPart();
+    // Rounded down, so that the reader doesn't expire the promise too early.
     const auto age = std::chrono::floor<Milliseconds>(std::max(uptime - at, Span{0}));
     writePrint(entries, key);
     entries.number(claimers.indexOf(holder));
@@ -338,19 +343,19 @@
   };
   const std::string bytes(part.begin(), part.end());
   Reader reader(bytes);
-  if (reader.byte() != kVersion) return failure("promise snapshot", "a part is of another version");
+  if (reader.byte() != kVersion) return failure("promise snapshot", "a part has an unknown version");
   const std::vector<Claimer> claimers = readClaimers(reader);
-  std::vector<Entry> entries(reader.count(kLeastEntry));
+  std::vector<Entry> entries(reader.count(kMinEntrySize));
   for (Entry& entry : entries) {
     entry.key = readPrint(reader);
     const auto holder = readHolder(reader, claimers);
     const std::uint64_t age = reader.number();
-    if (!holder || reader.failed() || age > static_cast<std::uint64_t>(kMostAge.count()))
-      return failure("promise snapshot", "a part is torn");
+    if (!holder || reader.failed() || age > static_cast<std::uint64_t>(kMaxAge.count()))
+      return failure("promise snapshot", "a part is malformed");
     entry.holder = *holder;
     entry.at = uptime - Milliseconds(static_cast<std::int64_t>(age));
   }
-  if (!reader.atEnd()) return failure("promise snapshot", "a part is torn");
+  if (!reader.atEnd()) return failure("promise snapshot", "a part is malformed");
   for (const Entry& entry : entries) promises.learn(entry.at, entry.key, entry.holder);
   return boost::outcome_v2::success();
 }
--- a/src/mesh/storage/promise_journal.hpp
+++ b/src/mesh/storage/promise_journal.hpp
@@ -1,21 +1,21 @@
 #pragma once
 
-// How promises on keys stand on disk, and how they go to a voter that must read them: both compact and
-// binary.
+// The binary formats of promises on operation keys: journal records in the store, and snapshots that are sent
+// to other voters.
 //
-// On disk a record is one batch of promises and releases, in the order in which they were made, under the
-// process's uptime; a record goes whole when all of its promises have ended, without reading it. Uptime is
-// counted over restarts from what the records tell, not by the time of day, so that a stepped clock ends no
-// promise early; the time that a process is down does not count, which keeps promises longer and never
-// shorter. Entries of the format before ("k/" and JSON) are read as well and end like the others.
+// A journal record is one batch of promises and releases in the order in which they were made, under the
+// process's uptime. A record is removed as a whole, without reading it, when all of its promises have
+// expired. Uptime continues over restarts from the newest record and is independent of the wall clock, so a
+// clock step can't expire a promise early. Downtime isn't counted, which only prolongs promises. Entries of
+// the old format ("k/" and JSON) are read as well and expire like the others.
 //
-// A record's key is "p/", the uptime in microseconds and the record's number, both as 8 bytes with the
-// highest first. Its value, with numbers as LEB128 but where a size is told:
+// A record's key is "p/", the uptime in microseconds and the record's number, both as 8 bytes in big-endian
+// order. Its value, with numbers as LEB128 unless a size is given:
 //   version (1 byte)
-//   count of claimers, for each: length of the address, the address, the life (8 bytes, lowest first)
-//   count of changes, for each: flags (1 byte), print of the key (16 bytes), which claimer, number of the
-//   claim
-// A part of a snapshot is the same, but for the flags the promise's age in milliseconds.
+//   count of claimers, for each: length of the address, the address, the life (8 bytes, little-endian)
+//   count of changes, for each: flags (1 byte), hash of the key (16 bytes), index of the claimer, number of
+//   the claim
+// A part of a snapshot has the same format, with the promise's age in milliseconds in place of the flags.
 
 #include <cstdint>
 #include <deque>
@@ -31,21 +31,23 @@
 
 class PromiseJournal {
  public:
-  /// One entry of the store, in the order of its keys. False: it is none of the journal's. An error: it is
-  /// one, and can't be read; the caller must treat the promises as lost.
+  /// Restores one entry of the store; called in the order of the keys. False: the entry doesn't belong to the
+  /// journal. An error: it does, but is malformed, and the caller must treat the promises as lost.
   Result<bool> restore(const std::string& key, const std::string& value, Promises& promises);
-  /// After all entries: the uptime at which this life begins; promises of the old format begin to end here.
+  /// Called after all entries: returns the uptime at which this life begins, from which promises of the old
+  /// format expire.
   Span resume(Promises& promises);
-  /// The entry for one batch; promises and releases as they were made.
+  /// A promise or a release.
   struct Change {
     KeyPrint key;
     Holder holder;
     bool released = false;
   };
+  /// Returns the entry for one batch of changes, in the order in which they were made.
   StoreEntry record(Span uptime, const std::vector<Change>& changes);
-  /// Removals of records whose promises have all ended, a bounded number a call.
+  /// Removals of records whose promises have all expired, a bounded number per call.
   std::vector<StoreEntry> expire(Span uptime, Span keep);
-  /// Removals of all records: the process has taken another incarnation.
+  /// Removals of all records, for a process that takes a new incarnation.
   std::vector<StoreEntry> clear();
 
  private:
@@ -57,17 +59,17 @@
   Result<bool> restoreOldEntry(const std::string& key, const std::string& value);
   void release(const Change& change);
 
-  std::deque<Record> records_;            // on disk, in their order
-  std::map<KeyPrint, Holder> oldFormat_;  // entries of the old format that are on disk and not released
-  std::vector<KeyPrint> oldReleased_;     // entries of the old format that are on disk and may go
-  Span resumed_{};
+  std::deque<Record> records_;            // on disk, in order
+  std::map<KeyPrint, Holder> oldFormat_;  // entries in the old format on disk, not released
+  std::vector<KeyPrint> oldReleased_;     // entries in the old format on disk, to be removed
+  Span restoredUptime_{};
   std::uint64_t lastNumber_ = 0;
 };
 
-/// All promises in parts of a bounded size, each with its age, so that no two clocks are compared. None, if
-/// nothing is promised.
-std::vector<std::vector<std::uint8_t>> snapshotOf(const Promises& promises, Span uptime);
-/// Takes one part; promises that are held already stay, with all their holders. An error: nothing was taken.
+/// Serializes all promises in parts of bounded size. Promises have ages rather than times, as clocks differ
+/// between processes. Empty if there are no promises.
+std::vector<std::vector<std::uint8_t>> writeSnapshot(const Promises& promises, Span uptime);
+/// Merges one part into the promises; existing holders are kept. On an error nothing is merged.
 Result<void> readSnapshot(const std::vector<std::uint8_t>& part, Span uptime, Promises& promises);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/storage/store.cpp
+++ b/src/mesh/storage/store.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kReopenPause = 250ms;  // after a failed write; a full disk stays full for a while
+constexpr auto kRetryDelay = 250ms;  // after a failed write
 
 }  // namespace
 
@@ -17,14 +17,14 @@
 Store::~Store() {
   {
     const std::lock_guard guard(mutex_);
-    over_ = true;
+    stopping_ = true;
   }
-  more_.notify_one();
+  wakeup_.notify_one();
   if (thread_.joinable()) thread_.join();
 }
 
-void Store::start(Told told) {
-  told_ = std::move(told);
+void Store::start(WriteCallback callback) {
+  callback_ = std::move(callback);
   thread_ = std::thread([this] { run(); });
 }
 
@@ -33,12 +33,12 @@
     const std::lock_guard guard(mutex_);
     waiting_.push_back({batch, std::move(entries)});
   }
-  more_.notify_one();
+  wakeup_.notify_one();
 }
 
 std::vector<Store::Batch> Store::nextBatches() {
   std::unique_lock lock(mutex_);
-  more_.wait(lock, [this] { return over_ || !waiting_.empty(); });
+  wakeup_.wait(lock, [this] { return stopping_ || !waiting_.empty(); });
   return std::exchange(waiting_, {});
 }
 
@@ -50,8 +50,8 @@
     all.reserve(batches.size());
     for (const Batch& batch : batches) all.push_back(&batch.entries);
     const bool done = database_.write(all);
-    for (const Batch& batch : batches) told_(batch.no, done);
-    if (!done) std::this_thread::sleep_for(kReopenPause);
+    for (const Batch& batch : batches) callback_(batch.no, done);
+    if (!done) std::this_thread::sleep_for(kRetryDelay);
   }
 }
 
--- a/src/mesh/storage/store.hpp
+++ b/src/mesh/storage/store.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// The control process's disk: a database and the one thread that waits for it. Batches that come while one is
-// being synced go together with the next. It must never tell of a batch as written that a loss of power could
-// take.
+// Asynchronous writes to the control process's database, on a thread of its own. Batches that arrive during a
+// sync are combined into the next write. A batch is reported as done only once it is durable.
 
 #include <condition_variable>
 #include <cstdint>
@@ -18,18 +17,18 @@
 
 class Store {
  public:
-  /// told: called from the store's thread for each batch, in their order.
-  using Told = std::function<void(std::uint64_t batch, bool done)>;
+  /// Called from the store's thread for each batch, in order.
+  using WriteCallback = std::function<void(std::uint64_t batch, bool done)>;
 
   explicit Store(const std::string& dataFolder, FileSystem files = posixFileSystem());
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
   ~Store();
 
-  /// See Database; to be called before start() only.
-  OpenOutcome open(const Database::Entry& entry) { return database_.open(entry); }
+  /// See Database; must be called before start().
+  OpenOutcome open(const Database::EntryVisitor& visit) { return database_.open(visit); }
   Result<void> setAside() { return database_.setAside(); }
-  void start(Told told);
+  void start(WriteCallback callback);
   void write(std::uint64_t batch, Entries entries);
 
  private:
@@ -41,11 +40,11 @@
   std::vector<Batch> nextBatches();
 
   Database database_;
-  Told told_;
+  WriteCallback callback_;
   std::mutex mutex_;
-  std::condition_variable more_;
+  std::condition_variable wakeup_;
   std::vector<Batch> waiting_;
-  bool over_ = false;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
--- a/tests/abandoned_requests_test.cpp
+++ b/tests/abandoned_requests_test.cpp
@@ -1,4 +1,4 @@
-// Requests whose clients have left: no server works for them, but for what can't be cancelled.
+// Requests whose clients have disconnected: servers stop working on them wherever they can be cancelled.
 
 #include <catch2/catch.hpp>
 
@@ -8,68 +8,71 @@
 using namespace rackroute;
 using namespace rackroute::mesh;
 
-TEST_CASE("a request whose client left is cancelled wherever it is, but for one with a key") {
+TEST_CASE("a disconnected client's request is cancelled unless it is keyed") {
   for (const RouteKind kind : {RouteKind::pure, RouteKind::effectful}) {
-    RequestRouter router = caller(kind);
-    const RoutingActions sent = router.asked(0s, {1}, kAsked);
+    RequestRouter router = callerRouter(kind);
+    const RoutingActions sent = router.handleRequest(0s, {1}, kClientRequest);
     REQUIRE(countOf(sent, RoutingAction::Kind::send) == 1);
-    const RoutingActions over = router.abandoned(100ms, {1});
-    REQUIRE(countOf(over, RoutingAction::Kind::cancel) == 1);
-    CHECK(over.back().sent == sent.back().sent);
-    CHECK(router.atWork() == 0);
-    // Word of it that comes all the same finds nothing to do.
-    CHECK(router.forwarded(200ms, {1}, sent.back().sent, ForwardResult::broken, {}, 0, nullptr).empty());
+    const RoutingActions cancelled = router.abandoned(100ms, {1});
+    REQUIRE(countOf(cancelled, RoutingAction::Kind::cancel) == 1);
+    CHECK(cancelled.back().attempt == sent.back().attempt);
+    CHECK(router.inFlight() == 0);
+    // Late results of the cancelled attempt are ignored.
+    CHECK(router.forwardEnded(200ms, {1}, sent.back().attempt, ForwardResult::connectionLost, {}, 0, nullptr)
+              .empty());
     CHECK(router.abandoned(200ms, {1}).empty());
   }
-  RequestRouter keyed = caller(RouteKind::keyed);
-  keyed.asked(0s, {1}, kAsked);
+  RequestRouter keyed = callerRouter(RouteKind::keyed);
+  keyed.handleRequest(0s, {1}, kClientRequest);
   CHECK(keyed.abandoned(100ms, {1}).empty());
-  CHECK(keyed.atWork() == 1);
+  CHECK(keyed.inFlight() == 1);
 }
 
-TEST_CASE("a client that leaves counts for nothing against the server it was sent to") {
-  RequestRouter router = caller(RouteKind::pure);
+TEST_CASE("a client's disconnect does not count against its server") {
+  RequestRouter router = callerRouter(RouteKind::pure);
   for (std::uint64_t no = 1; no <= 40; ++no) {
-    router.asked(0s, {no}, kAsked);
+    router.handleRequest(0s, {no}, kClientRequest);
     router.abandoned(100ms, {no});
   }
   CHECK(router.servers().ejected(1s, {"desk"}) == 0);
 }
 
-TEST_CASE("a server is told to stop what may be repeated, and what waits takes its place") {
-  Admission here = admissionWithVoters();
-  here.beat(0s, beat("i1", 1, 1));
-  REQUIRE(countOf(here.asked(0s, {1}, ask(RouteKind::pure), std::nullopt), AdmissionAction::Kind::run) == 1);
-  REQUIRE(here.asked(0s, {2}, ask(RouteKind::effectful), std::nullopt).empty());
-  // One that waits was never at a server.
-  const AdmissionActions waited = here.abandoned(10ms, {2});
+TEST_CASE("cancelling a running pure request frees its slot for a queued one") {
+  Admission admission = admissionWithVoters();
+  admission.heartbeat(0s, heartbeat("i1", 1, 1));
+  REQUIRE(countOf(admission.handleRequest(0s, {1}, forwardRequest(RouteKind::pure), std::nullopt),
+                  AdmissionAction::Kind::run) == 1);
+  REQUIRE(admission.handleRequest(0s, {2}, forwardRequest(RouteKind::effectful), std::nullopt).empty());
+  // A queued request has not been sent to a server.
+  const AdmissionActions waited = admission.abandoned(10ms, {2});
   REQUIRE(waited.size() == 1);
-  CHECK(waited[0].told.verdict == Verdict::full);
-  REQUIRE(here.asked(10ms, {3}, ask(RouteKind::effectful), std::nullopt).empty());
-  const AdmissionActions stopped = here.abandoned(20ms, {1});
+  CHECK(waited[0].reply.verdict == Verdict::full);
+  REQUIRE(admission.handleRequest(10ms, {3}, forwardRequest(RouteKind::effectful), std::nullopt).empty());
+  const AdmissionActions stopped = admission.abandoned(20ms, {1});
   REQUIRE(countOf(stopped, AdmissionAction::Kind::cancel) == 1);
   REQUIRE(countOf(stopped, AdmissionAction::Kind::run) == 1);
-  CHECK(stopped.back().ask == AskNo{3});
-  // It may not be repeated: the server goes on, and its end is taken as ever.
-  CHECK(here.abandoned(30ms, {3}).empty());
-  CHECK(countOf(here.ran(40ms, {3}, AtServer::answered, {200, false, nullptr, 0}),
+  CHECK(stopped.back().request == AskNo{3});
+  // An effectful request is not cancelled, and its end is handled as usual.
+  CHECK(admission.abandoned(30ms, {3}).empty());
+  CHECK(countOf(admission.executionEnded(40ms, {3}, ExecutionResult::answered, {200, false, nullptr, 0}),
                 AdmissionAction::Kind::answer) == 1);
-  CHECK(here.atWork() == 0);
+  CHECK(admission.inFlight() == 0);
 }
 
-TEST_CASE("a keyed request goes on when its caller has left, and its repeat gets the answer") {
-  Admission here = admissionWithVoters();
-  here.beat(0s, beat("i1", 1, 1));
-  const AdmissionActions claiming = here.asked(0s, {1}, ask(RouteKind::keyed), "k");
-  CHECK(here.abandoned(1ms, {1}).empty());
-  REQUIRE(countOf(here.claimEnded(2ms, winClaim(here, claiming[0].claim)), AdmissionAction::Kind::run) == 1);
-  CHECK(here.abandoned(3ms, {1}).empty());
+TEST_CASE("a keyed request continues after its caller disconnects, and a repeat gets its answer") {
+  Admission admission = admissionWithVoters();
+  admission.heartbeat(0s, heartbeat("i1", 1, 1));
+  const AdmissionActions claiming = admission.handleRequest(0s, {1}, forwardRequest(RouteKind::keyed), "k");
+  CHECK(admission.abandoned(1ms, {1}).empty());
+  REQUIRE(countOf(admission.claimEnded(2ms, winClaim(admission, claiming[0].claim)),
+                  AdmissionAction::Kind::run) == 1);
+  CHECK(admission.abandoned(3ms, {1}).empty());
   const auto bytes = std::make_shared<int>(5);
-  here.ran(9ms, {1}, AtServer::answered, {200, false, bytes, 100});
-  CHECK(here.asked(1s, {2}, ask(RouteKind::keyed), "k").back().bytes == bytes);
+  admission.executionEnded(9ms, {1}, ExecutionResult::answered, {200, false, bytes, 100});
+  CHECK(admission.handleRequest(1s, {2}, forwardRequest(RouteKind::keyed), "k").back().bytes == bytes);
 }
 
-TEST_CASE("on a day on which half of the clients leave early no server works on for them") {
+TEST_CASE("simulated load in which half of the clients disconnect early: no server keeps working for them") {
   const auto day = lab::mesh::readDay(std::string(RACKROUTE_LAB_MESH) + "/clients-leave.toml");
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const lab::mesh::Played played = lab::mesh::play(day, seed);
--- a/tests/control_agreement_test.cpp
+++ b/tests/control_agreement_test.cpp
@@ -20,7 +20,7 @@
   item.key = {ItemKind::service, "s" + std::to_string(name)};
   item.generation = {version};
   item.value = {{"value", value}};
-  item.print = printOf(item);
+  item.hash = hashOf(item);
   return item;
 }
 
@@ -151,7 +151,7 @@
       std::vector<Item> list;
       for (auto& [key, item] : items) list.push_back(item);
       orders_.push_back(makeOrder(std::move(list)));
-      for (const Item& item : orders_.back()->items) orderOf_[item.print] = orders_.back();
+      for (const Item& item : orders_.back()->items) orderOf_[item.hash] = orders_.back();
       propose(draw(processes_.size()), orders_.back());
       if (draw(3) == 0) propose(draw(processes_.size()), orders_.back());
     }
@@ -171,7 +171,7 @@
       std::size_t other = 0;
       for (const Item& item : call.order->items) {
         const auto found = chosen_.find(registerOf(item));
-        if (found != chosen_.end()) ++(found->second == item.print ? same : other);
+        if (found != chosen_.end()) ++(found->second == item.hash ? same : other);
       }
       if (*call.result == OrderResult::decided && same != call.order->items.size())
         fault("an acknowledged order is not in force whole");
@@ -217,7 +217,7 @@
         process.id, draw(1'000'000'000), &process.items, [](const VoterSet&, bool) { return true; }});
     for (const auto& [key, value] : process.disk) {
       if (!process.agreement->restore(key, value))
-        process.items.merge(itemFrom(nlohmann::json::parse(value)));
+        process.items.merge(itemFromJson(nlohmann::json::parse(value)));
     }
     Effects effects;
     process.agreement->voters(process.set, now_, effects);
@@ -270,7 +270,7 @@
     voters.insert(process.id);
     if (voters.size() < set.quorum()) return;
     for (const Item& item : accepted.order->items) {
-      if (chosen_.emplace(registerOf(item), item.print).first->second != item.print)
+      if (chosen_.emplace(registerOf(item), item.hash).first->second != item.hash)
         fault("two values have had a majority");
     }
   }
@@ -279,13 +279,13 @@
     for (const Item& item : items) {
       const auto found = chosen_.find(registerOf(item));
       if (found == chosen_.end()) fault("in force before a majority accepted it durably");
-      if (found != chosen_.end() && found->second != item.print) fault("another value is in force");
+      if (found != chosen_.end() && found->second != item.hash) fault("another value is in force");
     }
     if (faults_.equalItems) return;  // an order's item may be in force with another order before it
     for (const Item& item : items) {
-      const OrderPtr& order = orderOf_.at(item.print);
+      const OrderPtr& order = orderOf_.at(item.hash);
       const bool whole = std::all_of(order->items.begin(), order->items.end(),
-                                     [&](const Item& one) { return !process.items.newer(one); });
+                                     [&](const Item& one) { return !process.items.isNewer(one); });
       if (!whole) fault("an order is in force in part");
     }
   }
--- a/tests/control_messages_test.cpp
+++ b/tests/control_messages_test.cpp
@@ -62,7 +62,7 @@
   Item item() {
     Item item;
     item.generation = {number()};
-    item.print = number() | 1;
+    item.hash = number() | 1;
     item.dropped = below(4) == 0;
     const std::uint64_t kind = below(4);
     item.key = {static_cast<ItemKind>(kind), text()};
@@ -231,7 +231,7 @@
   if constexpr (std::is_same_v<T, ItemsRequest>) {
     return std::tie(value.versions, value.read, value.confirmed);
   } else if constexpr (std::is_same_v<T, Item>) {
-    return std::tie(value.key, value.generation, value.dropped, value.hostname, value.value, value.print);
+    return std::tie(value.key, value.generation, value.dropped, value.hostname, value.value, value.hash);
   } else if constexpr (fieldsIn<T>() == 9) {
     const auto& [a, b, c, d, e, f, g, h, i] = value;
     return std::tie(a, b, c, d, e, f, g, h, i);
--- a/tests/database_test.cpp
+++ b/tests/database_test.cpp
@@ -1,4 +1,5 @@
-// The control process's database on an emulated disk: kills, losses of power and refusals at drawn moments.
+// The control process's database on an emulated disk, with process crashes, power losses and disk errors at
+// random times.
 
 #include "mesh/storage/database.hpp"
 
@@ -24,20 +25,20 @@
 namespace {
 
 constexpr const char* kData = "/data";
-constexpr std::uint64_t kLives = 120;
+constexpr std::uint64_t kSeeds = 120;
 
-/// One disk, the process on it, and what it was told to be on disk.
+/// A disk, the process that uses it, and the writes that were acknowledged to it.
 class Machine {
  public:
   explicit Machine(std::uint64_t seed, bool syncsFolders = true)
-      : chance_(chanceOf(seed, Purpose::troubles)), files_(kData), fileSystem_(files_.fileSystem()) {
+      : random_(chanceOf(seed, Purpose::troubles)), files_(kData), fileSystem_(files_.fileSystem()) {
     if (!syncsFolders) fileSystem_.syncFolder = [](const std::string&) { return leveldb::Status::OK(); };
   }
   ~Machine() { stop(); }
 
-  [[nodiscard]] std::uint64_t below(std::uint64_t end) { return chance_() % end; }
+  [[nodiscard]] std::uint64_t below(std::uint64_t end) { return random_() % end; }
   EmulatedFiles& files() { return files_; }
-  Chance& chance() { return chance_; }
+  Chance& random() { return random_; }
 
   OpenOutcome start() {
     stop();
@@ -49,10 +50,10 @@
     if (outcome.state == OpenState::opened) compare(found);
     return outcome;
   }
-  /// The process ends, by itself or with the machine's power.
+  /// Ends the process, by a crash or a power loss.
   void end(bool power) {
     stop();
-    files_.restart(power, chance_);
+    files_.restart(power, random_);
   }
   void write(std::size_t size) {
     Entries entries;
@@ -72,7 +73,7 @@
     }
   }
   Database& database() { return *database_; }
-  /// Keys with another value than the last one acknowledged or one that came after it.
+  /// Number of keys whose value is neither the last acknowledged one nor a later one.
   [[nodiscard]] std::size_t lost() const { return lost_; }
   void forget() {
     acknowledged_.clear();
@@ -93,13 +94,13 @@
       bool known = never;
       for (const auto& one : possible) known = known || one == value;
       if (!known) ++lost_;
-      // What was found once must not be taken back by a later start either.
+      // A value that was read must not be lost by a later start either.
       if (!never) acknowledged_[key] = value;
       possible = {value};
     }
   }
 
-  Chance chance_;
+  Chance random_;
   EmulatedFiles files_;
   FileSystem fileSystem_;
   std::unique_ptr<Database> database_;
@@ -109,21 +110,21 @@
   std::size_t lost_ = 0;
 };
 
-/// How a life of many processes on one disk went.
-struct Lives {
+/// Results of a sequence of processes on one disk.
+struct RunResults {
   std::size_t unreadable = 0;
   std::size_t lost = 0;
 };
 
-Lives live(std::uint64_t seed, bool syncsFolders) {
+RunResults runLives(std::uint64_t seed, bool syncsFolders) {
   Machine machine(seed, syncsFolders);
-  Lives lives;
+  RunResults results;
   for (int life = 0; life < 12; ++life) {
-    // Some processes end while they open the database, others while they write, and some in between.
+    // Processes may end while they open the database, while they write or in between.
     if (machine.below(3) > 0) machine.files().endAfter(machine.below(120));
     const OpenOutcome outcome = machine.start();
-    if (outcome.state == OpenState::unreadable) {
-      ++lives.unreadable;
+    if (outcome.state == OpenState::corrupt) {
+      ++results.unreadable;
       break;
     }
     const std::uint64_t writes = machine.below(40);
@@ -135,48 +136,49 @@
     }
     machine.end(machine.below(2) == 0);
   }
-  lives.lost = machine.lost();
-  return lives;
+  results.lost = machine.lost();
+  return results;
 }
 
 }  // namespace
 
-TEST_CASE("no kill, loss of power or full disk makes the database unreadable or older", "[database]") {
-  for (std::uint64_t seed = 1; seed <= kLives; ++seed) {
-    const Lives lives = live(seed, true);
+TEST_CASE("crashes, power losses and full disks never corrupt the database or lose acknowledged writes",
+          "[database]") {
+  for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+    const RunResults results = runLives(seed, true);
     INFO("seed " << seed);
-    CHECK(lives.unreadable == 0);
-    CHECK(lives.lost == 0);
+    CHECK(results.unreadable == 0);
+    CHECK(results.lost == 0);
   }
 }
 
-// What the test above rests on: the emulated disk takes from LevelDB alone what it acknowledged.
-TEST_CASE("without syncs of its folder the database becomes unreadable, and older", "[database]") {
-  Lives sum;
-  for (std::uint64_t seed = 1; seed <= kLives; ++seed) {
-    const Lives lives = live(seed, false);
-    sum.unreadable += lives.unreadable;
-    sum.lost += lives.lost;
+// Validates the test above: without folder syncs the emulated disk does lose acknowledged data.
+TEST_CASE("without folder syncs the database becomes corrupt and loses acknowledged writes", "[database]") {
+  RunResults sum;
+  for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+    const RunResults results = runLives(seed, false);
+    sum.unreadable += results.unreadable;
+    sum.lost += results.lost;
   }
   INFO("unreadable " << sum.unreadable << ", lost " << sum.lost);
   CHECK(sum.unreadable > 0);
   CHECK(sum.lost > 0);
 }
 
-TEST_CASE("a damaged database is set aside, and a disk that refuses is not taken for damaged", "[database]") {
+TEST_CASE("a corrupt database is set aside, and a disk error is not treated as corruption", "[database]") {
   Machine machine(1);
   REQUIRE(machine.start().state == OpenState::opened);
   machine.write(20);
   machine.end(false);
   machine.files().full(true);
-  CHECK(machine.start().state == OpenState::refused);
+  CHECK(machine.start().state == OpenState::unavailable);
   machine.files().full(false);
   CHECK(machine.start().state == OpenState::opened);
   machine.end(false);
   REQUIRE(machine.files().RemoveFile("/data/held/CURRENT").ok());
   leveldb::WriteStringToFile(&machine.files(), "MANIFEST-999999\n", "/data/held/CURRENT");
   for (int times = 0; times < 2; ++times) {
-    REQUIRE(machine.start().state == OpenState::unreadable);
+    REQUIRE(machine.start().state == OpenState::corrupt);
     REQUIRE(machine.database().setAside());
     CHECK(machine.files().FileExists("/data/unreadable/CURRENT"));
     machine.forget();
@@ -190,7 +192,7 @@
   CHECK(machine.lost() == 0);
 }
 
-TEST_CASE("a database whose folder's own name can't be synced is not opened, until it can", "[database]") {
+TEST_CASE("a database is not opened while its folder's name can't be synced", "[database]") {
   EmulatedFiles files(kData);
   FileSystem fileSystem = files.fileSystem();
   bool refuses = true;
@@ -200,13 +202,14 @@
   };
   const auto nothing = [](const std::string&, const std::string&) {};
   Database database(kData, fileSystem);
-  CHECK(database.open(nothing).state == OpenState::refused);
+  CHECK(database.open(nothing).state == OpenState::unavailable);
   refuses = false;
   CHECK(database.open(nothing).state == OpenState::opened);
   files.runScheduled();
 }
 
-TEST_CASE("a torn end of a manifest is left out, and damage before its end is not", "[database]") {
+TEST_CASE("a torn record at the end of a manifest is ignored, but not corruption before the end",
+          "[database]") {
   EmulatedFiles files(kData);
   Database database(kData, files.fileSystem());
   REQUIRE(database.open([](const std::string&, const std::string&) {}).state == OpenState::opened);
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-Beat draining(const std::string& id, std::uint64_t seq) {
-  Beat told = beat(id, seq);
+ServerHeartbeat draining(const std::string& id, std::uint64_t seq) {
+  ServerHeartbeat told = heartbeat(id, seq);
   told.draining = true;
   return told;
 }
 
-Beat signOff(const std::string& id) {
-  Beat told;
+ServerHeartbeat signOff(const std::string& id) {
+  ServerHeartbeat told;
   told.id = {id};
   told.gone = true;
   return told;
@@ -28,7 +28,8 @@
 
 /// Whether a request for the server "i1" is let in.
 bool letsIn(Admission& here, Span now, std::uint64_t number) {
-  const AdmissionActions acts = here.asked(now, {number}, ask(RouteKind::pure), std::nullopt);
+  const AdmissionActions acts =
+      here.handleRequest(now, {number}, forwardRequest(RouteKind::pure), std::nullopt);
   return countOf(acts, AdmissionAction::Kind::run) == 1;
 }
 
@@ -44,12 +45,12 @@
 TEST_CASE("a server that said that it leaves gets nothing new from a later life of the process beside it") {
   Admission here = admissionWithVoters();
   SECTION("its first beat here says that it drains: since when is not known") {
-    here.beat(0s, draining("i1", 9));
+    here.heartbeat(0s, draining("i1", 9));
     CHECK_FALSE(letsIn(here, 0s, 1));
   }
   SECTION("it signs off before its first beat here, and beats on or late") {
-    here.beat(0s, signOff("i1"));
-    here.beat(100ms, beat("i1", 8));
+    here.heartbeat(0s, signOff("i1"));
+    here.heartbeat(100ms, heartbeat("i1", 8));
     CHECK_FALSE(letsIn(here, 200ms, 1));
   }
   SECTION("it was taken over from old news, and other news tell that it drains") {
@@ -64,12 +65,12 @@
     Served gone = servedHere(6);
     gone.gone = true;
     here.adopt(0s, gone);
-    here.beat(10ms, beat("i1", 8));
+    here.heartbeat(10ms, heartbeat("i1", 8));
     CHECK_FALSE(letsIn(here, 20ms, 1));
   }
   SECTION("what it says with a call that came late binds too") {
-    here.beat(0s, beat("i1", 9));
-    here.beat(100ms, draining("i1", 8));
+    here.heartbeat(0s, heartbeat("i1", 9));
+    here.heartbeat(100ms, draining("i1", 8));
     CHECK_FALSE(letsIn(here, 5s, 1));
   }
 }
--- a/tests/forwarding_test.cpp
+++ b/tests/forwarding_test.cpp
@@ -269,7 +269,7 @@
     std::size_t caller = 0;
     std::uint64_t callerLife = 0;
     CallNo call;
-    TryNo sent;
+    AttemptNo sent;
     std::size_t to = 0;
     ForwardRequest request;
     std::uint64_t attempt = 0;
@@ -333,28 +333,28 @@
     Beside& beside = besides_[i];
     beside.life = {++lives_};
     beside.frozenUntil = Span{0};
-    beside.admission = std::make_unique<Admission>(Admission::Built{{"n" + std::to_string(i)},
-                                                                    {"at" + std::to_string(i)},
-                                                                    "z",
-                                                                    beside.life,
-                                                                    {"desk"},
-                                                                    {"app"},
-                                                                    2500ms,
-                                                                    60s,
-                                                                    1 << 20});
+    beside.admission = std::make_unique<Admission>(Admission::Config{{"n" + std::to_string(i)},
+                                                                     {"at" + std::to_string(i)},
+                                                                     "z",
+                                                                     beside.life,
+                                                                     {"desk"},
+                                                                     {"app"},
+                                                                     2500ms,
+                                                                     60s,
+                                                                     1 << 20});
     beside.outcomes = std::make_unique<ForwardOutcomes>(beside.life, ForwardOutcomes::Limits{});
     electorate(*beside.admission);
-    Beat beat;
+    ServerHeartbeat beat;
     beat.id = {instance(i)};
     beat.service = {"desk"};
     beat.address = {"app"};
     beat.capacity = 3;
     beat.seq = 1;
-    act(i, beside.admission->beat(now_, beat));
+    act(i, beside.admission->heartbeat(now_, beat));
     // Each caller hears of the new life in its own time.
     for (std::size_t c = 0; c < kCallers; ++c) {
       in(drawn(1ms, 400ms), [this, c, told = newsOf(i)] {
-        if (callers_[c].router) callers_[c].router->told(now_, told, true);
+        if (callers_[c].router) callers_[c].router->updateServer(now_, told, true);
       });
     }
   }
@@ -365,8 +365,8 @@
     caller.frozenUntil = Span{0};
     caller.open.clear();  // their clients' connections close: no promise
     caller.router = std::make_unique<RequestRouter>(
-        RequestRouter::Built{{"c" + std::to_string(i)}, "z", {"line"}, {5, 1000, 10s}, caller.life});
-    caller.router->processes(1);
+        RequestRouter::Config{{"c" + std::to_string(i)}, "z", {"line"}, {5, 1000, 10s}, caller.life});
+    caller.router->setProcessCount(1);
     Items items;
     for (const char* kind : {"pure", "effectful", "keyed"}) {
       Item item;
@@ -380,8 +380,8 @@
                     {"generation", "r1"}};
       items.merge(item);
     }
-    caller.router->configured(items);
-    for (std::size_t b = 0; b < kBesides; ++b) caller.router->told(now_, newsOf(b), true);
+    caller.router->configure(items);
+    for (std::size_t b = 0; b < kBesides; ++b) caller.router->updateServer(now_, newsOf(b), true);
   }
 
   void tickCaller(std::size_t i) {
@@ -436,8 +436,8 @@
       if (wanted.until <= now_) return;
       const CallNo no{++calls_};
       callers_[i].open[no] = {wanted, attempt};
-      const Asked asked{"a.example", kPaths[static_cast<int>(wanted.kind)], wanted.until - now_};
-      act(i, callers_[i].router->asked(now_, no, asked));
+      const ClientRequest asked{"a.example", kPaths[static_cast<int>(wanted.kind)], wanted.until - now_};
+      act(i, callers_[i].router->handleRequest(now_, no, asked));
       if (happens(faults_.clientLeaves)) leave(i, no);
     });
   }
@@ -466,7 +466,7 @@
         continue;
       }
       if (action.kind == RoutingAction::Kind::cancel) {
-        const ForwardRef forward = forwards_.at({callers_[i].life, action.sent});
+        const ForwardRef forward = forwards_.at({callers_[i].life, action.attempt});
         forward->over = true;
         connectionEnds(forward);
         continue;
@@ -505,7 +505,7 @@
     }
     next.until = open.wanted.until;
     if (!again || ++next.tries > 3 || next.until - now_ < 50ms) return;
-    in(action.comeBack + 1ms, [this, next] { ask(next); });
+    in(action.retryAfter + 1ms, [this, next] { ask(next); });
   }
 
   // --- the way between the sidecars
@@ -515,9 +515,9 @@
     forward->caller = i;
     forward->callerLife = callers_[i].life;
     forward->call = action.call;
-    forward->sent = action.sent;
+    forward->sent = action.attempt;
     forward->to = static_cast<std::size_t>(std::stoul(action.at.value.substr(2)));
-    forward->request = action.ask;
+    forward->request = action.forward;
     forward->attempt = open.attempt;
     forward->key = open.wanted.key;
     forwards_[{forward->callerLife, forward->sent}] = forward;
@@ -532,7 +532,7 @@
       in(trip(), [this, forward, life] { deliver(forward, life); });
     }
     in(drawn(1ms, 400ms), [this, forward] {
-      result(forward, ForwardResult::broken);
+      result(forward, ForwardResult::connectionLost);
       connectionEnds(forward);
     });
   }
@@ -551,7 +551,7 @@
 
   void deliver(const ForwardRef& forward, std::uint64_t life) {
     Beside& beside = besides_[forward->to];
-    if (beside.life.value != life) return result(forward, ForwardResult::broken);
+    if (beside.life.value != life) return result(forward, ForwardResult::connectionLost);
     turn(beside, life, [this, forward] {
       Beside& then = besides_[forward->to];
       forward->arrived = true;
@@ -565,7 +565,7 @@
         case Arrival::Kind::admit: {
           std::optional<std::string> key;
           if (!forward->key.empty()) key = forward->key;
-          return act(forward->to, then.admission->asked(now_, no, forward->request, key));
+          return act(forward->to, then.admission->handleRequest(now_, no, forward->request, key));
         }
         case Arrival::Kind::answer:
           if (!late && arrival.reply.verdict == Verdict::neverCame) ++neverCame;
@@ -581,14 +581,14 @@
 
   void watch(const ForwardRef& forward, std::uint64_t life) {
     if (forward->over) return;
-    if (besides_[forward->to].life.value != life) return result(forward, ForwardResult::broken);
+    if (besides_[forward->to].life.value != life) return result(forward, ForwardResult::connectionLost);
     if (now_ < end_ + 20s) in(5ms, [this, forward, life] { watch(forward, life); });
   }
 
   void reply(const ForwardRef& forward, const ForwardReply& told, std::shared_ptr<const void> bytes) {
     if (happens(faults_.reset / 2))
-      return in(trip(), [this, forward] { result(forward, ForwardResult::broken); });
-    in(trip(), [this, forward, told, bytes] { result(forward, ForwardResult::told, told, bytes); });
+      return in(trip(), [this, forward] { result(forward, ForwardResult::connectionLost); });
+    in(trip(), [this, forward, told, bytes] { result(forward, ForwardResult::replied, told, bytes); });
   }
 
   /// The caller learns how its forward ended: the first word counts, as its connection is over then.
@@ -598,8 +598,8 @@
     forward->over = true;
     Caller& caller = callers_[forward->caller];
     turn(caller, forward->callerLife, [this, forward, how, told, bytes] {
-      act(forward->caller, callers_[forward->caller].router->forwarded(now_, forward->call, forward->sent,
-                                                                       how, told, bytes ? 200 : 0, bytes));
+      act(forward->caller, callers_[forward->caller].router->forwardEnded(now_, forward->call, forward->sent,
+                                                                          how, told, bytes ? 200 : 0, bytes));
     });
   }
 
@@ -615,22 +615,22 @@
           break;
         case AdmissionAction::Kind::answer: {
           std::vector<AskNo> all =
-              beside.outcomes->ended(now_, action.ask, action.told, action.bytes, action.size);
-          all.push_back(action.ask);
-          for (const AskNo no : all) reply(asked_.at({i, life, no}), action.told, action.bytes);
+              beside.outcomes->ended(now_, action.request, action.reply, action.bytes, action.size);
+          all.push_back(action.request);
+          for (const AskNo no : all) reply(asked_.at({i, life, no}), action.reply, action.bytes);
           break;
         }
         case AdmissionAction::Kind::claim:
           for (std::size_t voter = 0; voter < kVoters; ++voter) claim(i, life, voter, action);
           break;
-        case AdmissionAction::Kind::giveBack:
+        case AdmissionAction::Kind::releaseClaim:
           for (std::size_t voter = 0; voter < kVoters; ++voter) giveBack(i, life, voter, action);
           break;
         case AdmissionAction::Kind::cancel:
-          REQUIRE(asked_.at({i, life, action.ask})->request.kind == RouteKind::pure);
+          REQUIRE(asked_.at({i, life, action.request})->request.kind == RouteKind::pure);
           ++runsStopped;
           break;
-        case AdmissionAction::Kind::tell:
+        case AdmissionAction::Kind::announce:
           break;
       }
     }
@@ -670,23 +670,26 @@
   // --- servers
 
   void toServer(std::size_t i, std::uint64_t life, const AdmissionAction& action) {
-    const ForwardRef forward = asked_.at({i, life, action.ask});
-    const auto done = [this, i, life, ask = action.ask](Span wait, AtServer how, const ServerAnswer& answer) {
+    const ForwardRef forward = asked_.at({i, life, action.request});
+    const auto done = [this, i, life, ask = action.request](Span wait, ExecutionResult how,
+                                                            const ServerAnswer& answer) {
       in(wait, [this, i, life, ask, how, answer] {
-        turn(besides_[i], life,
-             [this, i, ask, how, answer] { act(i, besides_[i].admission->ran(now_, ask, how, answer)); });
+        turn(besides_[i], life, [this, i, ask, how, answer] {
+          act(i, besides_[i].admission->executionEnded(now_, ask, how, answer));
+        });
       });
     };
-    if (happens(faults_.serverRefuses)) return done(trip(), AtServer::answered, {503, true, nullptr, 0});
-    if (happens(0.01)) return done(trip(), AtServer::notSent, {});
-    if (happens(faults_.serverResetsBefore)) return done(trip(), AtServer::broken, {});
+    if (happens(faults_.serverRefuses))
+      return done(trip(), ExecutionResult::answered, {503, true, nullptr, 0});
+    if (happens(0.01)) return done(trip(), ExecutionResult::notSent, {});
+    if (happens(faults_.serverResetsBefore)) return done(trip(), ExecutionResult::connectionLost, {});
     // What is on its way to the server comes there also when the sidecar ends meanwhile.
     in(drawn(100us, 2ms), [this, i, forward] { ran(i, *forward); });
     const Span takes = drawn(5ms, happens(0.1) ? 900ms : 90ms);
-    if (takes > action.left) return done(action.left, AtServer::timedOut, {});
-    if (happens(faults_.serverBreaks)) return done(takes, AtServer::broken, {});
+    if (takes > action.left) return done(action.left, ExecutionResult::timedOut, {});
+    if (happens(faults_.serverBreaks)) return done(takes, ExecutionResult::connectionLost, {});
     const auto body = std::make_shared<const Body>(Body{forward->attempt, forward->key, life});
-    done(takes, AtServer::answered, {200, false, body, 600});
+    done(takes, ExecutionResult::answered, {200, false, body, 600});
   }
 
   void ran(std::size_t i, const Forward& forward) {
@@ -701,8 +704,8 @@
 
   void judge() {
     // Nothing is held for what has ended.
-    for (const Caller& caller : callers_) CHECK(caller.router->atWork() == 0);
-    for (const Beside& beside : besides_) CHECK(beside.admission->atWork() == 0);
+    for (const Caller& caller : callers_) CHECK(caller.router->inFlight() == 0);
+    for (const Beside& beside : besides_) CHECK(beside.admission->inFlight() == 0);
     for (const auto& [no, attempt] : all_) {
       if (attempt.kind != RouteKind::pure && attempt.promised) CHECK(attempt.runs == 0);
     }
@@ -718,7 +721,7 @@
   std::vector<Caller> callers_;
   std::vector<Beside> besides_;
   std::map<std::tuple<std::size_t, std::uint64_t, AskNo>, ForwardRef> asked_;
-  std::map<std::pair<std::uint64_t, TryNo>, ForwardRef> forwards_;  // by their caller's life
+  std::map<std::pair<std::uint64_t, AttemptNo>, ForwardRef> forwards_;  // by their caller's life
   std::map<std::pair<std::size_t, std::size_t>, Span> sessions_;
   std::map<std::uint64_t, Attempt> all_;
   std::map<std::uint64_t, std::uint64_t> runs_;  // of operations that must not run twice
--- a/tests/mesh_fixtures.hpp
+++ b/tests/mesh_fixtures.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the tests of the mesh's parts have in common: one service "desk", its servers, three voters, a route.
+// Fixtures of the mesh's unit tests: the service "desk", its servers, three voters and a route.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -36,14 +36,14 @@
   return made;
 }
 
-inline Beat beat(const std::string& id, std::uint64_t seq, std::uint32_t capacity = 2) {
-  Beat told;
-  told.id = {id};
-  told.service = {"desk"};
-  told.address = {"app"};
-  told.capacity = capacity;
-  told.seq = seq;
-  return told;
+inline ServerHeartbeat heartbeat(const std::string& id, std::uint64_t seq, std::uint32_t capacity = 2) {
+  ServerHeartbeat made;
+  made.id = {id};
+  made.service = {"desk"};
+  made.address = {"app"};
+  made.capacity = capacity;
+  made.seq = seq;
+  return made;
 }
 
 inline VoterId voterId(std::size_t voter) { return {{"v" + std::to_string(voter)}, {1}}; }
@@ -58,7 +58,8 @@
   return made;
 }
 
-inline ForwardRequest ask(RouteKind kind, std::uint32_t priority = 1, const std::string& route = "r") {
+inline ForwardRequest forwardRequest(RouteKind kind, std::uint32_t priority = 1,
+                                     const std::string& route = "r") {
   ForwardRequest made;
   made.instance = {"i1"};
   made.service = {"desk"};
@@ -70,10 +71,10 @@
   return made;
 }
 
-template <class Acts, class Kind>
-std::size_t countOf(const Acts& acts, Kind kind) {
+template <class Actions, class Kind>
+std::size_t countOf(const Actions& actions, Kind kind) {
   return static_cast<std::size_t>(
-      std::count_if(acts.begin(), acts.end(), [&](const auto& a) { return a.kind == kind; }));
+      std::count_if(actions.begin(), actions.end(), [&](const auto& action) { return action.kind == kind; }));
 }
 
 inline Claims::Ended winClaim(Admission& admission, ClaimNo no) {
@@ -84,20 +85,20 @@
   return *ended;
 }
 
-inline RequestRouter caller(RouteKind kind, double slack = 100) {
+inline RequestRouter callerRouter(RouteKind kind, double slack = 100) {
   RequestRouter made({{"n"}, "z", {"line"}, {0.2, slack, 10s}, 5});
-  made.processes(1);
+  made.setProcessCount(1);
   Items items;
   Item item = route("look", 1);
   static constexpr const char* kKinds[] = {"pure", "effectful", "keyed"};
   item.value["route_kind"] = kKinds[static_cast<int>(kind)];
   items.merge(item);
-  made.configured(items);
-  made.told(0s, served("a"), true);
-  made.told(0s, served("b"), true);
+  made.configure(items);
+  made.updateServer(0s, served("a"), true);
+  made.updateServer(0s, served("b"), true);
   return made;
 }
 
-inline const Asked kAsked{"a.example", "/look/1", 1500ms};
+inline const ClientRequest kClientRequest{"a.example", "/look/1", 1500ms};
 
 }  // namespace rackroute::mesh
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the mesh's parts, and drawn load on all of them together in virtual time.
+// Unit tests of the mesh's components, and a simulation of all of them under random load in virtual time.
 
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -31,7 +31,7 @@
       .dump();
 }
 
-/// What a control process says to a sidecar at first; the voters are three.
+/// A control process's first message to a sidecar, with three voters.
 Welcome welcomeOf(const Address& at) {
   Welcome welcome;
   welcome.self = {at, {1}};
@@ -52,67 +52,66 @@
 
 }  // namespace
 
-TEST_CASE("copies of the configuration agree, in whatever order items come, and never go back") {
-  std::mt19937_64 chance(3);
+TEST_CASE("copies of the configuration converge in any order of items, and versions never decrease") {
+  std::mt19937_64 random(3);
   for (int round = 0; round < 50; ++round) {
     std::vector<Item> all;
     for (int i = 0; i < 40; ++i) {
       all.push_back(
-          route("r" + std::to_string(chance() % 6), chance() % 8, std::to_string(1 + chance() % 5) + "s"));
-      if (chance() % 4 == 0) {
+          route("r" + std::to_string(random() % 6), random() % 8, std::to_string(1 + random() % 5) + "s"));
+      if (random() % 4 == 0) {
         all.back().dropped = true;
         all.back().value = nullptr;
       }
     }
     Items first;
     for (const Item& item : all) first.merge(item);
-    std::shuffle(all.begin(), all.end(), chance);
+    std::shuffle(all.begin(), all.end(), random);
     Items second;
     for (const Item& item : all) {
       const Item* held = second.find(item.key);
       const std::uint64_t before = held == nullptr ? 0 : held->generation.value;
-      second.merge(itemFrom(toJson(item)));
+      second.merge(itemFromJson(toJson(item)));
       REQUIRE(second.find(item.key)->generation.value >= before);
     }
     REQUIRE(first.digest() == second.digest());
-    REQUIRE(first.standing() == second.standing());
+    REQUIRE(first.activeAsJson() == second.activeAsJson());
     Items third;
-    for (const Item& item : first.beyond(third.versions())) third.merge(item);
+    for (const Item& item : first.newerThan(third.versions())) third.merge(item);
     REQUIRE(third.digest() == first.digest());
-    REQUIRE(first.beyond(third.versions()).empty());
+    REQUIRE(first.newerThan(third.versions()).empty());
   }
 }
 
-TEST_CASE("a change is checked whole, and what is wrong is named") {
-  const json sound = route("look", 4).value;
-  REQUIRE(readChange(changeOf(sound)));
-  const auto wrong = [&](const char* field, const json& value) {
-    json broken = sound;
-    broken[field] = value;
-    const auto read = readChange(changeOf(broken));
+TEST_CASE("a change is validated completely, and errors name the field") {
+  const json valid = route("look", 4).value;
+  REQUIRE(parseChange(changeOf(valid)));
+  const auto errorFor = [&](const char* field, const json& value) {
+    json invalid = valid;
+    invalid[field] = value;
+    const auto read = parseChange(changeOf(invalid));
     REQUIRE_FALSE(read);
     return read.error().line();
   };
-  CHECK(wrong("timeout", "0ms").find("route/look.timeout is 0") != std::string::npos);
-  CHECK(wrong("timeout", "601s").find("over ten minutes") != std::string::npos);
-  CHECK(wrong("timeout", "soon").find("can't be read") != std::string::npos);
-  CHECK(wrong("path_prefix", "look/").find("does not begin with a slash") != std::string::npos);
-  CHECK(wrong("generation", "7").find("is no version") != std::string::npos);
-  CHECK(wrong("route_kind", "odd").find("breaks \"enum\"") != std::string::npos);
-  CHECK(wrong("max_attempts", 0).find("minimum") != std::string::npos);
-  CHECK_FALSE(readChange(changeOf(sound).substr(0, 60)));
-  // A name may stand in it twice: the same word twice says nothing new, two words at one version are no
-  // change.
-  CHECK(readChange(
+  CHECK(errorFor("timeout", "0ms").find("route/look.timeout is 0") != std::string::npos);
+  CHECK(errorFor("timeout", "601s").find("over ten minutes") != std::string::npos);
+  CHECK(errorFor("timeout", "soon").find("is not a duration") != std::string::npos);
+  CHECK(errorFor("path_prefix", "look/").find("does not begin with a slash") != std::string::npos);
+  CHECK(errorFor("generation", "7").find("is not a version") != std::string::npos);
+  CHECK(errorFor("route_kind", "odd").find("violates \"enum\"") != std::string::npos);
+  CHECK(errorFor("max_attempts", 0).find("minimum") != std::string::npos);
+  CHECK_FALSE(parseChange(changeOf(valid).substr(0, 60)));
+  // A change may contain an item twice with equal contents, but not with different contents and one version.
+  CHECK(parseChange(
             R"({"remove":{"route_list":[{"name":"x","generation":"r7"},{"name":"x","generation":"r7"}]}})")
             .value()
             .size() == 1);
-  json twice = json::parse(changeOf(sound));
+  json twice = json::parse(changeOf(valid));
   twice["remove"]["route_list"] = json::array({{{"name", "look"}, {"generation", "r4"}}});
-  CHECK_FALSE(readChange(twice.dump()));
-  // A service that its routes name must stand once the change has been taken.
+  CHECK_FALSE(parseChange(twice.dump()));
+  // A service that its routes refer to must exist after the change.
   Items items;
-  std::vector<Item> change = readChange(changeOf(sound)).value();
+  std::vector<Item> change = parseChange(changeOf(valid)).value();
   CHECK_FALSE(items.unknownService(change));
   change.erase(std::remove_if(change.begin(), change.end(),
                               [](const Item& i) { return i.key.kind == ItemKind::service; }),
@@ -120,7 +119,7 @@
   CHECK(items.unknownService(change) == "desk");
 }
 
-TEST_CASE("a request takes the longest prefix that begins its path") {
+TEST_CASE("a request is routed by the longest matching path prefix") {
   Items items;
   for (const auto& [name, prefix] :
        {std::pair("all", "/"), std::pair("a", "/a/"), std::pair("ab", "/a/b/")}) {
@@ -128,78 +127,79 @@
     item.value["path_prefix"] = prefix;
     items.merge(item);
   }
-  RouteTable book;
-  book.read(items);
-  CHECK(book.find("A.example:80", "/a/b/c?x=/z/")->name == "ab");
-  CHECK(book.find("a.example", "/a/b")->name == "a");
-  CHECK(book.find("a.example", "/a")->name == "all");
-  CHECK_FALSE(book.find("b.example", "/a/"));
+  RouteTable table;
+  table.load(items);
+  CHECK(table.find("A.example:80", "/a/b/c?x=/z/")->name == "ab");
+  CHECK(table.find("a.example", "/a/b")->name == "a");
+  CHECK(table.find("a.example", "/a")->name == "all");
+  CHECK_FALSE(table.find("b.example", "/a/"));
 }
 
-TEST_CASE("five failures in a row eject, up to half of the servers, and one trial re-admits") {
-  ServerPool rack("z", {"n"}, 1);
-  for (const char* id : {"a", "b", "c", "d"}) rack.told(0s, served(id), true);
-  const auto failUntilOut = [&](const char* id) {
-    for (int i = 0; i < 5; ++i) rack.ended(1s, {id}, Ending::failed, std::nullopt);
+TEST_CASE(
+    "five consecutive failures eject a server, up to half of them, and a successful trial re-admits it") {
+  ServerPool pool("z", {"n"}, 1);
+  for (const char* id : {"a", "b", "c", "d"}) pool.told(0s, served(id), true);
+  const auto failUntilEjected = [&](const char* id) {
+    for (int i = 0; i < 5; ++i) pool.ended(1s, {id}, Ending::failed, std::nullopt);
   };
-  for (const char* id : {"a", "b", "c"}) failUntilOut(id);
-  CHECK(rack.ejected(1s, {"desk"}) == 2);
+  for (const char* id : {"a", "b", "c"}) failUntilEjected(id);
+  CHECK(pool.ejected(1s, {"desk"}) == 2);
   for (int i = 0; i < 50; ++i) {
-    const auto picked = rack.pick(2s, {"desk"}, false, {});
+    const auto picked = pool.pick(2s, {"desk"}, false, {});
     REQUIRE(picked);
     CHECK((picked->id.value == "c" || picked->id.value == "d"));
   }
-  // After its time one request tries it, and only one.
+  // After the ejection time a single trial request is sent to it.
   std::set<InstanceId> others{{"b"}, {"c"}, {"d"}};
-  CHECK(rack.pick(20s, {"desk"}, false, others));
-  CHECK_FALSE(rack.pick(20s, {"desk"}, false, others));
-  rack.ended(20s, {"a"}, Ending::served, std::nullopt);
-  CHECK(rack.ejected(20s, {"desk"}) == 0);
-  CHECK(rack.pick(20s, {"desk"}, false, others));
+  CHECK(pool.pick(20s, {"desk"}, false, others));
+  CHECK_FALSE(pool.pick(20s, {"desk"}, false, others));
+  pool.ended(20s, {"a"}, Ending::served, std::nullopt);
+  CHECK(pool.ejected(20s, {"desk"}) == 0);
+  CHECK(pool.pick(20s, {"desk"}, false, others));
 }
 
-TEST_CASE("draining and sign-offs bind, silence of half the servers is doubted") {
-  ServerPool rack("z", {"n"}, 1);
-  for (const char* id : {"a", "b", "c", "d"}) rack.told(0s, served(id), true);
+TEST_CASE("draining and sign-offs are final, and losing contact to half of the servers is disregarded") {
+  ServerPool pool("z", {"n"}, 1);
+  for (const char* id : {"a", "b", "c", "d"}) pool.told(0s, served(id), true);
   Served leaving = served("a", 2);
   leaving.draining = true;
-  rack.told(1s, leaving, true);
-  rack.told(1s, served("a", 1), true);  // late news
+  pool.told(1s, leaving, true);
+  pool.told(1s, served("a", 1), true);  // outdated
   const std::set<InstanceId> others{{"b"}, {"c"}, {"d"}};
-  CHECK_FALSE(rack.pick(1s, {"desk"}, false, others));
-  // One of three unheard is avoided; two of three are not believed.
-  rack.told(1s, served("b"), false);
+  CHECK_FALSE(pool.pick(1s, {"desk"}, false, others));
+  // One disconnected server of three is avoided; if two are disconnected, both remain candidates.
+  pool.told(1s, served("b"), false);
   std::set<InstanceId> seen;
-  for (int i = 0; i < 60; ++i) seen.insert(rack.pick(1s, {"desk"}, false, {})->id);
+  for (int i = 0; i < 60; ++i) seen.insert(pool.pick(1s, {"desk"}, false, {})->id);
   CHECK(seen.count({"b"}) == 0);
-  rack.told(1s, served("c"), false);
-  for (int i = 0; i < 60; ++i) seen.insert(rack.pick(1s, {"desk"}, false, {})->id);
+  pool.told(1s, served("c"), false);
+  for (int i = 0; i < 60; ++i) seen.insert(pool.pick(1s, {"desk"}, false, {})->id);
   CHECK(seen.count({"b"}) == 1);
-  // The process beside it starts anew and has heard a late beat: the server leaves all the same.
-  Served anew = served("a", 1);
-  anew.life = {2};
-  rack.told(2s, anew, true);
-  CHECK_FALSE(rack.pick(2s, {"desk"}, false, others));
-  // That process left and came back; that it found another server at the address was a guess.
+  // A late heartbeat after a restart of the server's process doesn't undo the drain.
+  Served restarted = served("a", 1);
+  restarted.life = {2};
+  pool.told(2s, restarted, true);
+  CHECK_FALSE(pool.pick(2s, {"desk"}, false, others));
+  // A server that was marked as replaced is used again once its process reports otherwise.
   Served back = served("b", 2);
   back.replaced = true;
-  rack.told(2s, back, true);
-  CHECK_FALSE(rack.pick(2s, {"desk"}, false, {{"a"}, {"c"}, {"d"}}));
+  pool.told(2s, back, true);
+  CHECK_FALSE(pool.pick(2s, {"desk"}, false, {{"a"}, {"c"}, {"d"}}));
   back.replaced = false;
   back.seq = 3;
-  rack.told(2s, back, true);
-  CHECK(rack.pick(2s, {"desk"}, false, {{"a"}, {"c"}, {"d"}}));
+  pool.told(2s, back, true);
+  CHECK(pool.pick(2s, {"desk"}, false, {{"a"}, {"c"}, {"d"}}));
 }
 
-TEST_CASE("the budgets of all processes together keep the fleet's allowance in every window") {
-  std::mt19937_64 chance(11);
+TEST_CASE("the retry budgets of all processes together stay within the fleet's allowance in every window") {
+  std::mt19937_64 random(11);
   const Allowance all{0.2, 60, 10s};
   std::vector<RetryBudget> budgets(10);
   for (RetryBudget& budget : budgets) budget.share(all, budgets.size());
-  std::vector<std::pair<Span, bool>> events;  // further or not
+  std::vector<std::pair<Span, bool>> events;  // whether it is a retry
   for (Span now{}; now < 60s; now += 5ms) {
-    RetryBudget& budget = budgets[chance() % budgets.size()];
-    if (now < 40s || chance() % 20 == 0) {
+    RetryBudget& budget = budgets[random() % budgets.size()];
+    if (now < 40s || random() % 20 == 0) {
       budget.request(now);
       events.emplace_back(now, false);
     }
@@ -207,251 +207,273 @@
       if (budget.take(now)) events.emplace_back(now, true);
     }
   }
-  std::size_t furtherInAll = 0;
-  for (const auto& [at, further] : events) {
-    if (!further) continue;
-    ++furtherInAll;
+  std::size_t retryCount = 0;
+  for (const auto& [at, retry] : events) {
+    if (!retry) continue;
+    ++retryCount;
     double requests = 0;
     double taken = 0;
-    for (const auto& [then, isFurther] : events) {
+    for (const auto& [then, isRetry] : events) {
       if (then <= at - 10s || then > at) continue;
-      (isFurther ? taken : requests) += 1;
+      (isRetry ? taken : requests) += 1;
     }
     REQUIRE(taken <= all.ratio * requests + all.slack);
   }
-  CHECK(furtherInAll > 100);
+  CHECK(retryCount > 100);
 }
 
-TEST_CASE("admission lets in what its server has room for, the most worth for its time first") {
-  Admission here = admissionWithVoters();
-  here.beat(0s, beat("i1", 1));
-  const auto running = [&](std::uint64_t no, const ForwardRequest& ask) {
-    return countOf(here.asked(0s, {no}, ask, std::nullopt), AdmissionAction::Kind::run) == 1;
+TEST_CASE("admission limits requests to the server's capacity and orders the queue by value per second") {
+  Admission admission = admissionWithVoters();
+  admission.heartbeat(0s, heartbeat("i1", 1));
+  const auto running = [&](std::uint64_t no, const ForwardRequest& request) {
+    return countOf(admission.handleRequest(0s, {no}, request, std::nullopt), AdmissionAction::Kind::run) == 1;
   };
-  // It learns that one route's work is long and the other's quick.
-  CHECK(running(1, ask(RouteKind::pure, 1, "long")));
-  here.ran(600ms, {1}, AtServer::answered, {200, false, nullptr, 0});
-  CHECK(running(2, ask(RouteKind::pure, 1, "quick")));
-  here.ran(20ms, {2}, AtServer::answered, {200, false, nullptr, 0});
-  CHECK(running(3, ask(RouteKind::pure, 1, "long")));
-  CHECK(running(4, ask(RouteKind::pure, 1, "long")));
-  CHECK_FALSE(running(5, ask(RouteKind::pure, 1, "long")));
-  CHECK_FALSE(running(6, ask(RouteKind::pure, 1, "quick")));
-  const AdmissionActions acts = here.ran(30ms, {3}, AtServer::answered, {200, false, nullptr, 0});
-  REQUIRE(countOf(acts, AdmissionAction::Kind::run) == 1);
-  CHECK(std::find_if(acts.begin(), acts.end(), [](const AdmissionAction& a) {
-          return a.kind == AdmissionAction::Kind::run;
-        })->ask == AskNo{6});
-  // What can't be started in time goes at once.
-  const AdmissionActions refused = here.asked(
+  // Learns the execution times of a slow and a fast route.
+  CHECK(running(1, forwardRequest(RouteKind::pure, 1, "long")));
+  admission.executionEnded(600ms, {1}, ExecutionResult::answered, {200, false, nullptr, 0});
+  CHECK(running(2, forwardRequest(RouteKind::pure, 1, "quick")));
+  admission.executionEnded(20ms, {2}, ExecutionResult::answered, {200, false, nullptr, 0});
+  CHECK(running(3, forwardRequest(RouteKind::pure, 1, "long")));
+  CHECK(running(4, forwardRequest(RouteKind::pure, 1, "long")));
+  CHECK_FALSE(running(5, forwardRequest(RouteKind::pure, 1, "long")));
+  CHECK_FALSE(running(6, forwardRequest(RouteKind::pure, 1, "quick")));
+  const AdmissionActions actions =
+      admission.executionEnded(30ms, {3}, ExecutionResult::answered, {200, false, nullptr, 0});
+  REQUIRE(countOf(actions, AdmissionAction::Kind::run) == 1);
+  CHECK(std::find_if(actions.begin(), actions.end(), [](const AdmissionAction& action) {
+          return action.kind == AdmissionAction::Kind::run;
+        })->request == AskNo{6});
+  // A request that can't start in time is refused immediately.
+  const AdmissionActions refused = admission.handleRequest(
       0s, {7},
       [] {
-        ForwardRequest late = ask(RouteKind::pure, 2, "long");
+        ForwardRequest late = forwardRequest(RouteKind::pure, 2, "long");
         late.aim = 100ms;
         return late;
       }(),
       std::nullopt);
   REQUIRE(countOf(refused, AdmissionAction::Kind::answer) == 1);
-  CHECK(refused.back().told.verdict == Verdict::full);
+  CHECK(refused.back().reply.verdict == Verdict::full);
 }
 
-TEST_CASE("a server that drains, is gone or is another gets nothing, and late calls change nothing") {
-  Admission here = admissionWithVoters();
-  CHECK(here.asked(0s, {1}, ask(RouteKind::pure), std::nullopt).back().told.verdict == Verdict::strange);
-  here.beat(0s, beat("i1", 5));
-  Beat leaving = beat("i1", 6);
+TEST_CASE("no requests for draining, ended or unknown servers, and late heartbeats have no effect") {
+  Admission admission = admissionWithVoters();
+  CHECK(
+      admission.handleRequest(0s, {1}, forwardRequest(RouteKind::pure), std::nullopt).back().reply.verdict ==
+      Verdict::strange);
+  admission.heartbeat(0s, heartbeat("i1", 5));
+  ServerHeartbeat leaving = heartbeat("i1", 6);
   leaving.draining = true;
-  CHECK(countOf(here.beat(1s, leaving), AdmissionAction::Kind::tell) == 1);
-  CHECK(countOf(here.beat(1s, beat("i1", 5)), AdmissionAction::Kind::tell) == 0);
-  CHECK(countOf(here.asked(1500ms, {2}, ask(RouteKind::pure), std::nullopt), AdmissionAction::Kind::run) ==
-        1);
-  CHECK(here.asked(3400ms, {3}, ask(RouteKind::pure), std::nullopt).back().told.verdict == Verdict::leaving);
-  ForwardRequest elsewhere = ask(RouteKind::pure);
+  CHECK(countOf(admission.heartbeat(1s, leaving), AdmissionAction::Kind::announce) == 1);
+  CHECK(countOf(admission.heartbeat(1s, heartbeat("i1", 5)), AdmissionAction::Kind::announce) == 0);
+  CHECK(countOf(admission.handleRequest(1500ms, {2}, forwardRequest(RouteKind::pure), std::nullopt),
+                AdmissionAction::Kind::run) == 1);
+  CHECK(admission.handleRequest(3400ms, {3}, forwardRequest(RouteKind::pure), std::nullopt)
+            .back()
+            .reply.verdict == Verdict::leaving);
+  ForwardRequest elsewhere = forwardRequest(RouteKind::pure);
   elsewhere.service = {"line"};
-  CHECK(here.asked(1s, {4}, elsewhere, std::nullopt).back().told.verdict == Verdict::strange);
+  CHECK(admission.handleRequest(1s, {4}, elsewhere, std::nullopt).back().reply.verdict == Verdict::strange);
 }
 
-TEST_CASE("a key runs once here, repeats get its answer or wait for it, and a return is told to the voters") {
-  Admission here = admissionWithVoters();
-  here.beat(0s, beat("i1", 1, 1));
-  const AdmissionActions claiming = here.asked(0s, {1}, ask(RouteKind::keyed), "k");
+TEST_CASE("a keyed operation runs once, repeats get or await its answer, and unused claims are released") {
+  Admission admission = admissionWithVoters();
+  admission.heartbeat(0s, heartbeat("i1", 1, 1));
+  const AdmissionActions claiming = admission.handleRequest(0s, {1}, forwardRequest(RouteKind::keyed), "k");
   REQUIRE(claiming.size() == 1);
   REQUIRE(claiming[0].kind == AdmissionAction::Kind::claim);
-  // Votes hold no slot: other work runs meanwhile, and the key waits its turn.
-  CHECK(countOf(here.asked(0s, {2}, ask(RouteKind::pure), std::nullopt), AdmissionAction::Kind::run) == 1);
-  CHECK(countOf(here.claimEnded(1ms, winClaim(here, claiming[0].claim)), AdmissionAction::Kind::run) == 0);
-  CHECK(countOf(here.ran(2ms, {2}, AtServer::answered, {200, false, nullptr, 0}),
+  // No slot is held while waiting for votes: another request runs, and the keyed one is queued afterwards.
+  CHECK(countOf(admission.handleRequest(0s, {2}, forwardRequest(RouteKind::pure), std::nullopt),
+                AdmissionAction::Kind::run) == 1);
+  CHECK(countOf(admission.claimEnded(1ms, winClaim(admission, claiming[0].claim)),
+                AdmissionAction::Kind::run) == 0);
+  CHECK(countOf(admission.executionEnded(2ms, {2}, ExecutionResult::answered, {200, false, nullptr, 0}),
                 AdmissionAction::Kind::run) == 1);
-  CHECK(here.asked(3ms, {3}, ask(RouteKind::keyed), "k").empty());
+  CHECK(admission.handleRequest(3ms, {3}, forwardRequest(RouteKind::keyed), "k").empty());
   const auto bytes = std::make_shared<int>(5);
-  const AdmissionActions done = here.ran(9ms, {1}, AtServer::answered, {200, false, bytes, 100});
+  const AdmissionActions done =
+      admission.executionEnded(9ms, {1}, ExecutionResult::answered, {200, false, bytes, 100});
   REQUIRE(countOf(done, AdmissionAction::Kind::answer) == 2);
   for (const AdmissionAction& act : done) CHECK(act.bytes == bytes);
-  CHECK(here.asked(1s, {4}, ask(RouteKind::keyed), "k").back().bytes == bytes);
-  // Turned away by its server: surely not run, so the promise goes back and another server may try.
-  const AdmissionActions second = here.asked(1s, {5}, ask(RouteKind::keyed), "k2");
-  here.claimEnded(1s, winClaim(here, second[0].claim));
-  const AdmissionActions turned = here.ran(1s, {5}, AtServer::answered, {503, true, nullptr, 0});
-  CHECK(countOf(turned, AdmissionAction::Kind::giveBack) == 1);
-  CHECK(turned.back().told.verdict == Verdict::turnedAway);
-  // Broken off: nobody knows, and nobody runs it again.
-  const AdmissionActions third = here.asked(2s, {6}, ask(RouteKind::keyed), "k3");
-  here.claimEnded(2s, winClaim(here, third[0].claim));
-  CHECK(countOf(here.ran(2s, {6}, AtServer::broken, {}), AdmissionAction::Kind::giveBack) == 0);
-  CHECK(here.asked(3s, {7}, ask(RouteKind::keyed), "k3").back().told.verdict == Verdict::unknown);
+  CHECK(admission.handleRequest(1s, {4}, forwardRequest(RouteKind::keyed), "k").back().bytes == bytes);
+  // Rejected by the server, so certainly not run: the claim is released for another server.
+  const AdmissionActions second = admission.handleRequest(1s, {5}, forwardRequest(RouteKind::keyed), "k2");
+  admission.claimEnded(1s, winClaim(admission, second[0].claim));
+  const AdmissionActions turned =
+      admission.executionEnded(1s, {5}, ExecutionResult::answered, {503, true, nullptr, 0});
+  CHECK(countOf(turned, AdmissionAction::Kind::releaseClaim) == 1);
+  CHECK(turned.back().reply.verdict == Verdict::turnedAway);
+  // Connection lost: the outcome is unknown, and the operation must not run again.
+  const AdmissionActions third = admission.handleRequest(2s, {6}, forwardRequest(RouteKind::keyed), "k3");
+  admission.claimEnded(2s, winClaim(admission, third[0].claim));
+  CHECK(countOf(admission.executionEnded(2s, {6}, ExecutionResult::connectionLost, {}),
+                AdmissionAction::Kind::releaseClaim) == 0);
+  CHECK(admission.handleRequest(3s, {7}, forwardRequest(RouteKind::keyed), "k3").back().reply.verdict ==
+        Verdict::unknown);
 }
 
-TEST_CASE("without a quorum a key is refused at once, and room for others is not spent on it") {
-  Admission here = admissionWithVoters();
-  here.beat(0s, beat("i1", 1, 1));
-  const AdmissionActions claiming = here.asked(0s, {1}, ask(RouteKind::keyed), "k");
+TEST_CASE("without a quorum keyed requests are refused immediately and hold no slot") {
+  Admission admission = admissionWithVoters();
+  admission.heartbeat(0s, heartbeat("i1", 1, 1));
+  const AdmissionActions claiming = admission.handleRequest(0s, {1}, forwardRequest(RouteKind::keyed), "k");
   REQUIRE(countOf(claiming, AdmissionAction::Kind::claim) == 1);
-  const AdmissionActions over = here.tick(500ms);
-  CHECK(countOf(over, AdmissionAction::Kind::giveBack) == 1);
-  CHECK(over.back().told.verdict == Verdict::voteless);
-  const AdmissionActions next = here.asked(501ms, {2}, ask(RouteKind::keyed), "k2");
+  const AdmissionActions over = admission.tick(500ms);
+  CHECK(countOf(over, AdmissionAction::Kind::releaseClaim) == 1);
+  CHECK(over.back().reply.verdict == Verdict::voteless);
+  const AdmissionActions next = admission.handleRequest(501ms, {2}, forwardRequest(RouteKind::keyed), "k2");
   REQUIRE(next.size() == 1);
-  CHECK(next[0].told.verdict == Verdict::voteless);
-  // Voters that are there may only be slow; without any decision for longer they are taken for gone, and
-  // clients that came back at once would use up their tries before the core is back.
-  CHECK(next[0].told.wait < 500ms);
-  const AdmissionActions again = here.asked(800ms, {4}, ask(RouteKind::keyed), "k4");
+  CHECK(next[0].reply.verdict == Verdict::voteless);
+  // The retry advice is short while the voters may only be slow, and longer once no claim has been decided
+  // for some time.
+  CHECK(next[0].reply.wait < 500ms);
+  const AdmissionActions again = admission.handleRequest(800ms, {4}, forwardRequest(RouteKind::keyed), "k4");
   REQUIRE(countOf(again, AdmissionAction::Kind::claim) == 1);
-  CHECK(here.tick(1300ms).back().told.wait >= 1s);
-  here.claims().reach(1);
-  const AdmissionActions alone = here.asked(5s, {3}, ask(RouteKind::keyed), "k3");
-  CHECK(alone.back().told.verdict == Verdict::voteless);
-  CHECK(alone.back().told.wait >= 1s);
-  here.claims().reach(3);
-  const AdmissionActions back = here.asked(6s, {5}, ask(RouteKind::keyed), "k5");
-  here.claimEnded(6s, winClaim(here, back[0].claim));
-  CHECK(here.claims().comeBack(6s) < 500ms);
+  CHECK(admission.tick(1300ms).back().reply.wait >= 1s);
+  admission.claims().reach(1);
+  const AdmissionActions alone = admission.handleRequest(5s, {3}, forwardRequest(RouteKind::keyed), "k3");
+  CHECK(alone.back().reply.verdict == Verdict::voteless);
+  CHECK(alone.back().reply.wait >= 1s);
+  admission.claims().reach(3);
+  const AdmissionActions back = admission.handleRequest(6s, {5}, forwardRequest(RouteKind::keyed), "k5");
+  admission.claimEnded(6s, winClaim(admission, back[0].claim));
+  CHECK(admission.claims().comeBack(6s) < 500ms);
 }
 
-TEST_CASE(
-    "what may have run is sent again only where that is allowed, and is never promised not to have run") {
-  const auto send = [](const RoutingActions& acts) {
-    REQUIRE(acts.size() == 1);
-    REQUIRE(acts[0].kind == RoutingAction::Kind::send);
-    return acts[0].sent;
+TEST_CASE("requests that may have run are retried only where allowed, and never reported as not run") {
+  const auto send = [](const RoutingActions& actions) {
+    REQUIRE(actions.size() == 1);
+    REQUIRE(actions[0].kind == RoutingAction::Kind::send);
+    return actions[0].attempt;
   };
-  SECTION("an effectful request that broke off is asked after once, where it was sent") {
-    RequestRouter here = caller(RouteKind::effectful);
-    const RoutingActions first = here.asked(1s, {1}, kAsked);
-    const TryNo sent = send(first);
-    const RoutingActions asking = here.forwarded(1s, {1}, sent, ForwardResult::broken, {}, 0, nullptr);
-    const TryNo asked = send(asking);
+  SECTION(
+      "after a lost connection the outcome of an effectful request is queried once, at the same process") {
+    RequestRouter router = callerRouter(RouteKind::effectful);
+    const RoutingActions first = router.handleRequest(1s, {1}, kClientRequest);
+    const AttemptNo sent = send(first);
+    const RoutingActions asking =
+        router.forwardEnded(1s, {1}, sent, ForwardResult::connectionLost, {}, 0, nullptr);
+    const AttemptNo asked = send(asking);
     CHECK(asking[0].at == first[0].at);
-    CHECK(asking[0].ask.id == first[0].ask.id);
-    CHECK(asking[0].ask.outcomeOf == LifeNo{1});
-    ForwardReply told;
-    SECTION("no answer: 502") {
-      for (const ForwardResult how : {ForwardResult::broken, ForwardResult::notSent}) {
-        RequestRouter same = caller(RouteKind::effectful);
-        const TryNo again = send(same.forwarded(1s, {1}, send(same.asked(1s, {1}, kAsked)),
-                                                ForwardResult::broken, {}, 0, nullptr));
-        const RoutingActions acts = same.forwarded(1s, {1}, again, how, {}, 0, nullptr);
-        REQUIRE(acts.size() == 1);
-        CHECK(acts[0].status == 502);
+    CHECK(asking[0].forward.id == first[0].forward.id);
+    CHECK(asking[0].forward.outcomeOf == LifeNo{1});
+    ForwardReply reply;
+    SECTION("no reply: 502") {
+      for (const ForwardResult how : {ForwardResult::connectionLost, ForwardResult::notSent}) {
+        RequestRouter same = callerRouter(RouteKind::effectful);
+        const AttemptNo again =
+            send(same.forwardEnded(1s, {1}, send(same.handleRequest(1s, {1}, kClientRequest)),
+                                   ForwardResult::connectionLost, {}, 0, nullptr));
+        const RoutingActions actions = same.forwardEnded(1s, {1}, again, how, {}, 0, nullptr);
+        REQUIRE(actions.size() == 1);
+        CHECK(actions[0].status == 502);
       }
     }
-    SECTION("not known there: 502") {
-      told.verdict = Verdict::unknown;
-      CHECK(here.forwarded(1s, {1}, asked, ForwardResult::told, told, 503, nullptr)[0].status == 502);
+    SECTION("outcome unknown there: 502") {
+      reply.verdict = Verdict::unknown;
+      CHECK(router.forwardEnded(1s, {1}, asked, ForwardResult::replied, reply, 503, nullptr)[0].status ==
+            502);
     }
-    SECTION("it never came: to another server, and if none takes it, refused") {
-      told.verdict = Verdict::neverCame;
-      const RoutingActions acts = here.forwarded(1s, {1}, asked, ForwardResult::told, told, 503, nullptr);
-      const TryNo second = send(acts);
-      CHECK(acts[0].at != first[0].at);
-      told.verdict = Verdict::full;
-      CHECK(here.forwarded(1s, {1}, second, ForwardResult::told, told, 503, nullptr)[0].status == 503);
+    SECTION("not received: sent to another server, and refused if none admits it") {
+      reply.verdict = Verdict::neverCame;
+      const RoutingActions actions =
+          router.forwardEnded(1s, {1}, asked, ForwardResult::replied, reply, 503, nullptr);
+      const AttemptNo second = send(actions);
+      CHECK(actions[0].at != first[0].at);
+      reply.verdict = Verdict::full;
+      CHECK(router.forwardEnded(1s, {1}, second, ForwardResult::replied, reply, 503, nullptr)[0].status ==
+            503);
     }
-    SECTION("word that it never came, too long after it was sent, is not believed") {
-      RequestRouter slow = caller(RouteKind::effectful);
+    SECTION("a reply that it was not received is invalid too long after it was sent") {
+      RequestRouter slow = callerRouter(RouteKind::effectful);
       Items items;
       Item item = route("look", 2, "60s");
       item.value["route_kind"] = "effectful";
       items.merge(item);
-      slow.configured(items);
-      const TryNo old = send(slow.asked(1s, {1}, {"a.example", "/look/1", 60s}));
-      const TryNo question = send(slow.forwarded(2s, {1}, old, ForwardResult::broken, {}, 0, nullptr));
-      told.verdict = Verdict::neverCame;
-      CHECK(slow.forwarded(11s, {1}, question, ForwardResult::told, told, 503, nullptr)[0].status == 502);
+      slow.configure(items);
+      const AttemptNo old = send(slow.handleRequest(1s, {1}, {"a.example", "/look/1", 60s}));
+      const AttemptNo question =
+          send(slow.forwardEnded(2s, {1}, old, ForwardResult::connectionLost, {}, 0, nullptr));
+      reply.verdict = Verdict::neverCame;
+      CHECK(slow.forwardEnded(11s, {1}, question, ForwardResult::replied, reply, 503, nullptr)[0].status ==
+            502);
     }
-    SECTION("no word before its client's time is over: 504") {
-      const RoutingActions acts = here.tick(2500ms);
-      REQUIRE(acts.size() == 1);
-      CHECK(acts[0].status == 504);
+    SECTION("no reply before the client's deadline: 504") {
+      const RoutingActions actions = router.tick(2500ms);
+      REQUIRE(actions.size() == 1);
+      CHECK(actions[0].status == 504);
     }
   }
-  SECTION("one that was admitted nowhere goes on, and is refused with the time to come back") {
-    RequestRouter here = caller(RouteKind::effectful);
-    TryNo sent = send(here.asked(1s, {1}, kAsked));
+  SECTION("a request that no server admits is refused with Retry-After") {
+    RequestRouter router = callerRouter(RouteKind::effectful);
+    AttemptNo sent = send(router.handleRequest(1s, {1}, kClientRequest));
     ForwardReply full;
     full.verdict = Verdict::full;
-    sent = send(here.forwarded(1s, {1}, sent, ForwardResult::told, full, 503, nullptr));
-    const RoutingActions acts = here.forwarded(1s, {1}, sent, ForwardResult::told, full, 503, nullptr);
-    CHECK(acts[0].status == 503);
-    CHECK(acts[0].comeBack > 0s);
+    sent = send(router.forwardEnded(1s, {1}, sent, ForwardResult::replied, full, 503, nullptr));
+    const RoutingActions actions =
+        router.forwardEnded(1s, {1}, sent, ForwardResult::replied, full, 503, nullptr);
+    CHECK(actions[0].status == 503);
+    CHECK(actions[0].retryAfter > 0s);
   }
-  SECTION("a pure one is sent again while the budget lasts") {
-    RequestRouter here = caller(RouteKind::pure, 0);
-    const TryNo sent = send(here.asked(1s, {1}, kAsked));
-    CHECK(here.forwarded(1s, {1}, sent, ForwardResult::broken, {}, 0, nullptr)[0].status == 502);
-    RequestRouter rich = caller(RouteKind::pure);
-    RoutingActions acts;
-    for (std::uint64_t i = 1; i < 60; ++i) acts = rich.asked(20s + i * 1ms, {i}, kAsked);
-    send(rich.forwarded(20200ms, {59}, acts[0].sent, ForwardResult::broken, {}, 0, nullptr));
+  SECTION("a pure request is retried within the retry budget") {
+    RequestRouter router = callerRouter(RouteKind::pure, 0);
+    const AttemptNo sent = send(router.handleRequest(1s, {1}, kClientRequest));
+    CHECK(router.forwardEnded(1s, {1}, sent, ForwardResult::connectionLost, {}, 0, nullptr)[0].status == 502);
+    RequestRouter rich = callerRouter(RouteKind::pure);
+    RoutingActions actions;
+    for (std::uint64_t i = 1; i < 60; ++i) actions = rich.handleRequest(20s + i * 1ms, {i}, kClientRequest);
+    send(rich.forwardEnded(20200ms, {59}, actions[0].attempt, ForwardResult::connectionLost, {}, 0, nullptr));
   }
   SECTION(
-      "a key that another holds is asked for there; a dead holder's is not known, but this one never ran") {
+      "the holder of a key is queried; if it is unreachable, the request itself is known not to have run") {
     ForwardReply held;
     held.verdict = Verdict::held;
     held.holder = Holder{{"there:1"}, {4}, {9}};
-    RequestRouter here = caller(RouteKind::keyed);
-    const TryNo sent = send(here.asked(1s, {1}, kAsked));
-    const RoutingActions asking = here.forwarded(1s, {1}, sent, ForwardResult::told, held, 503, nullptr);
+    RequestRouter router = callerRouter(RouteKind::keyed);
+    const AttemptNo sent = send(router.handleRequest(1s, {1}, kClientRequest));
+    const RoutingActions asking =
+        router.forwardEnded(1s, {1}, sent, ForwardResult::replied, held, 503, nullptr);
     REQUIRE(asking.size() == 1);
     CHECK(asking[0].at.value == "there:1");
-    CHECK(asking[0].ask.holder == LifeNo{4});
+    CHECK(asking[0].forward.holder == LifeNo{4});
     const RoutingActions refused =
-        here.forwarded(1s, {1}, asking[0].sent, ForwardResult::notSent, {}, 0, nullptr);
+        router.forwardEnded(1s, {1}, asking[0].attempt, ForwardResult::notSent, {}, 0, nullptr);
     CHECK(refused[0].status == 503);
-    CHECK(refused[0].comeBack >= 500ms);
-    // The same at the end of its client's time.
-    RequestRouter waiting = caller(RouteKind::keyed);
-    send(waiting.forwarded(1s, {1}, send(waiting.asked(1s, {1}, kAsked)), ForwardResult::told, held, 503,
-                           nullptr));
+    CHECK(refused[0].retryAfter >= 500ms);
+    // Likewise at the client's deadline.
+    RequestRouter waiting = callerRouter(RouteKind::keyed);
+    send(waiting.forwardEnded(1s, {1}, send(waiting.handleRequest(1s, {1}, kClientRequest)),
+                              ForwardResult::replied, held, 503, nullptr));
     CHECK(waiting.tick(2500ms)[0].status == 503);
-    // A copy of this one that went another way may have run.
-    RequestRouter broken = caller(RouteKind::keyed);
-    const TryNo second = send(broken.forwarded(1s, {1}, send(broken.asked(1s, {1}, kAsked)),
-                                               ForwardResult::broken, {}, 0, nullptr));
-    const TryNo third = send(broken.forwarded(1s, {1}, second, ForwardResult::told, held, 503, nullptr));
-    CHECK(broken.forwarded(1s, {1}, third, ForwardResult::notSent, {}, 0, nullptr)[0].status == 502);
+    // An earlier attempt of this request may have run.
+    RequestRouter another = callerRouter(RouteKind::keyed);
+    const AttemptNo second =
+        send(another.forwardEnded(1s, {1}, send(another.handleRequest(1s, {1}, kClientRequest)),
+                                  ForwardResult::connectionLost, {}, 0, nullptr));
+    const AttemptNo third =
+        send(another.forwardEnded(1s, {1}, second, ForwardResult::replied, held, 503, nullptr));
+    CHECK(another.forwardEnded(1s, {1}, third, ForwardResult::notSent, {}, 0, nullptr)[0].status == 502);
   }
-  SECTION("a repeat whose first run ended with no answer did not run itself") {
-    RequestRouter here = caller(RouteKind::keyed);
-    const TryNo sent = send(here.asked(1s, {1}, kAsked));
-    ForwardReply told;
-    told.verdict = Verdict::unknown;
-    told.repeated = true;
-    CHECK(here.forwarded(1s, {1}, sent, ForwardResult::told, told, 503, nullptr)[0].status == 503);
-    RequestRouter first = caller(RouteKind::keyed);
-    told.repeated = false;
+  SECTION("a repeat of an operation with unknown outcome did not run itself") {
+    RequestRouter router = callerRouter(RouteKind::keyed);
+    const AttemptNo sent = send(router.handleRequest(1s, {1}, kClientRequest));
+    ForwardReply reply;
+    reply.verdict = Verdict::unknown;
+    reply.repeated = true;
+    CHECK(router.forwardEnded(1s, {1}, sent, ForwardResult::replied, reply, 503, nullptr)[0].status == 503);
+    RequestRouter first = callerRouter(RouteKind::keyed);
+    reply.repeated = false;
     CHECK(first
-              .forwarded(1s, {1}, send(first.asked(1s, {1}, kAsked)), ForwardResult::told, told, 503,
-                         nullptr)[0]
+              .forwardEnded(1s, {1}, send(first.handleRequest(1s, {1}, kClientRequest)),
+                            ForwardResult::replied, reply, 503, nullptr)[0]
               .status == 502);
   }
-  SECTION("no route is 404 at once") {
-    RequestRouter here = caller(RouteKind::pure);
-    CHECK(here.asked(1s, {1}, {"a.example", "/other/", 1s})[0].status == 404);
+  SECTION("no route: 404") {
+    RequestRouter router = callerRouter(RouteKind::pure);
+    CHECK(router.handleRequest(1s, {1}, {"a.example", "/other/", 1s})[0].status == 404);
   }
 }
 
-TEST_CASE("the store gives back what was written, and leaves a foreign folder alone") {
+TEST_CASE("the store returns what was written, and refuses a database of a newer version") {
   const auto folder =
       std::filesystem::temp_directory_path() / ("rackroute-store-" + std::to_string(::getpid()));
   std::filesystem::remove_all(folder);
@@ -463,17 +485,17 @@
     REQUIRE(store.open(entry).state == OpenState::opened);
     CHECK(all.empty());
     std::mutex mutex;
-    std::condition_variable told;
+    std::condition_variable progress;
     std::size_t done = 0;
     store.start([&](std::uint64_t, bool written) {
       const std::lock_guard guard(mutex);
       if (written) ++done;
-      told.notify_one();
+      progress.notify_one();
     });
     store.write(1, {{"a", "1"}, {"b", "2"}});
     store.write(2, {{"a", std::nullopt}});
     std::unique_lock lock(mutex);
-    told.wait(lock, [&] { return done == 2; });
+    progress.wait(lock, [&] { return done == 2; });
   }
   {
     Store again(folder.string());
@@ -488,33 +510,33 @@
   }
   all.clear();
   Store late(folder.string());
-  CHECK(late.open(entry).state == OpenState::foreign);
+  CHECK(late.open(entry).state == OpenState::unrecognized);
   CHECK(all.empty());
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("a long word is packed once for all who get it, and a spoilt one is no word") {
+TEST_CASE("a large message is compressed once for all receivers, and corrupted data is rejected") {
   json routes = json::array();
   for (int i = 0; i < 300; ++i) routes.push_back(route("r" + std::to_string(i), 1).value);
-  const auto word = std::make_shared<const std::string>(routes.dump());
-  REQUIRE(worthPacking(*word));
+  const auto text = std::make_shared<const std::string>(routes.dump());
+  REQUIRE(worthPacking(*text));
   CHECK_FALSE(worthPacking("{}"));
   Compressor compressor;
-  const auto packed = compressor.packed(word);
+  const auto packed = compressor.packed(text);
   REQUIRE(packed);
-  CHECK(packed->size() * 8 < word->size());
-  CHECK(compressor.packed(word) == packed);
-  CHECK(unpacked(*packed, word->size()) == *word);
-  // More bytes than were said, fewer, and others than were sent.
-  CHECK_FALSE(unpacked(*packed, word->size() - 1));
-  CHECK_FALSE(unpacked(*packed, word->size() + 1));
-  std::string spoilt = *packed;
-  spoilt[spoilt.size() / 2] = static_cast<char>(spoilt[spoilt.size() / 2] ^ 4);
-  CHECK_FALSE(unpacked(spoilt, word->size()));
-  CHECK_FALSE(unpacked(std::string_view(*packed).substr(0, packed->size() / 2), word->size()));
+  CHECK(packed->size() * 8 < text->size());
+  CHECK(compressor.packed(text) == packed);
+  CHECK(unpacked(*packed, text->size()) == *text);
+  // A size that is too small or too large, and corrupted or truncated data.
+  CHECK_FALSE(unpacked(*packed, text->size() - 1));
+  CHECK_FALSE(unpacked(*packed, text->size() + 1));
+  std::string corrupted = *packed;
+  corrupted[corrupted.size() / 2] = static_cast<char>(corrupted[corrupted.size() / 2] ^ 4);
+  CHECK_FALSE(unpacked(corrupted, text->size()));
+  CHECK_FALSE(unpacked(std::string_view(*packed).substr(0, packed->size() / 2), text->size()));
 }
 
-TEST_CASE("a large configuration goes out in parts, and is no copy nor in force before its last") {
+TEST_CASE("a large configuration is sent in parts and takes effect after the last one") {
   Items items;
   std::vector<Item> list;
   for (int i = 0; i < 400; ++i) {
@@ -528,10 +550,10 @@
   REQUIRE(itemsReplies(head, {}).size() == 1);
   Sidecar::Built built;
   built.controlClient = {{"s"}, {"s:1"}, "z", {1}, {{"v0"}}};
-  Sidecar here(built);
-  here.reached(0s, {"v0"});
-  here.heard(0s, {"v0"}, json::parse(encode(welcomeOf({"v0"}))));
-  here.heard(0s, {"v0"}, json::parse(encode(settledHeartbeat(items.digest()))));
+  Sidecar sidecar(built);
+  sidecar.reached(0s, {"v0"});
+  sidecar.heard(0s, {"v0"}, json::parse(encode(welcomeOf({"v0"}))));
+  sidecar.heard(0s, {"v0"}, json::parse(encode(settledHeartbeat(items.digest()))));
   Items copy;
   for (std::size_t i = 0; i < texts.size(); ++i) {
     const json text = json::parse(*texts[i]);
@@ -540,91 +562,98 @@
     const auto& reply = std::get<ItemsReply>(message.value());
     CHECK(reply.last() == (i + 1 == texts.size()));
     for (const Item& item : reply.items) copy.merge(item);
-    CHECK_FALSE(here.serving(0s));
-    here.heard(0s, {"v0"}, text);
+    CHECK_FALSE(sidecar.serving(0s));
+    sidecar.heard(0s, {"v0"}, text);
   }
   CHECK(copy.digest() == items.digest());
-  // All is there, but not all has been read as routes.
-  CHECK_FALSE(here.serving(0s));
-  here.tick(here.nextTick(0s) + 100ms);
-  REQUIRE(here.serving(100ms));
-  for (const Item& item : list) CHECK(here.router().routes().find("a.example", "/" + item.key.name + "/"));
+  // All items have arrived, but the routing table is not complete yet.
+  CHECK_FALSE(sidecar.serving(0s));
+  sidecar.tick(sidecar.nextTick(0s) + 100ms);
+  REQUIRE(sidecar.serving(100ms));
+  for (const Item& item : list) CHECK(sidecar.router().routes().find("a.example", "/" + item.key.name + "/"));
 }
 
-TEST_CASE("a process that came back serves its server at once, and none that another has replaced") {
+TEST_CASE("a restarted process serves its server immediately, but not one that was replaced") {
   Served known = served("i1", 4);
   known.node = {"n"};
   known.life = {6};
-  known.leaving = true;  // the process that told of it did
-  Admission here = admissionWithVoters();
-  const AdmissionActions told = here.adopt(0s, known);
-  REQUIRE(countOf(told, AdmissionAction::Kind::tell) == 1);
-  CHECK(told[0].served.life == LifeNo{7});
-  CHECK_FALSE(told[0].served.leaving);
-  const AdmissionActions run = here.asked(0s, {1}, ask(RouteKind::pure), std::nullopt);
+  known.leaving = true;  // the process, not the server
+  Admission admission = admissionWithVoters();
+  const AdmissionActions announced = admission.adopt(0s, known);
+  REQUIRE(countOf(announced, AdmissionAction::Kind::announce) == 1);
+  CHECK(announced[0].served.life == LifeNo{7});
+  CHECK_FALSE(announced[0].served.leaving);
+  const AdmissionActions run =
+      admission.handleRequest(0s, {1}, forwardRequest(RouteKind::pure), std::nullopt);
   REQUIRE(countOf(run, AdmissionAction::Kind::run) == 1);
   CHECK(run[0].server.value == "app");
-  // Its first beat changes nothing; one of another server at its address ends it.
-  CHECK(here.beat(1s, beat("i1", 9, 10)).empty());
-  const AdmissionActions replaced = here.beat(2s, beat("i2", 1));
-  REQUIRE(countOf(replaced, AdmissionAction::Kind::tell) == 2);
+  // Its first heartbeat changes nothing; one of another server at its address replaces it.
+  CHECK(admission.heartbeat(1s, heartbeat("i1", 9, 10)).empty());
+  const AdmissionActions replaced = admission.heartbeat(2s, heartbeat("i2", 1));
+  REQUIRE(countOf(replaced, AdmissionAction::Kind::announce) == 2);
   CHECK(replaced[0].served.replaced);
-  CHECK(here.asked(2s, {2}, ask(RouteKind::pure), std::nullopt).back().told.verdict == Verdict::leaving);
-  CHECK(here.adopt(3s, served("i3")).empty());
+  CHECK(
+      admission.handleRequest(2s, {2}, forwardRequest(RouteKind::pure), std::nullopt).back().reply.verdict ==
+      Verdict::leaving);
+  CHECK(admission.adopt(3s, served("i3")).empty());
 
-  // Not one that leaves, not another's; of two, the one told of last; and 421 is word of its end.
-  Admission there = admissionWithVoters();
+  // Not adopted: draining servers and those of other nodes. Of two servers the one announced last is adopted.
+  // A 421 answer marks it as replaced.
+  Admission second = admissionWithVoters();
   Served drains = known;
   drains.draining = true;
   drains.id = {"i4"};
-  CHECK(there.adopt(0s, drains).empty());
+  CHECK(second.adopt(0s, drains).empty());
   drains.draining = false;
-  CHECK(there.adopt(0s, drains).empty());  // other news of it that come late
-  CHECK(there.adopt(0s, served("i1")).empty());
-  there.adopt(0s, known);
+  CHECK(second.adopt(0s, drains).empty());  // outdated after the drain
+  CHECK(second.adopt(0s, served("i1")).empty());
+  second.adopt(0s, known);
   Served older = known;
   older.id = {"i0"};
   older.seq = 3;
-  CHECK(there.adopt(0s, older).empty());
-  there.asked(0s, {1}, ask(RouteKind::pure), std::nullopt);
-  const AdmissionActions other = there.ran(0s, {1}, AtServer::answered, {421, true, nullptr, 0});
-  REQUIRE(countOf(other, AdmissionAction::Kind::tell) == 1);
-  CHECK(there.servers()[0].replaced);
+  CHECK(second.adopt(0s, older).empty());
+  second.handleRequest(0s, {1}, forwardRequest(RouteKind::pure), std::nullopt);
+  const AdmissionActions actions =
+      second.executionEnded(0s, {1}, ExecutionResult::answered, {421, true, nullptr, 0});
+  REQUIRE(countOf(actions, AdmissionAction::Kind::announce) == 1);
+  CHECK(second.servers()[0].replaced);
 }
 
-TEST_CASE("a process that starts is ready once a settled control process has told what a majority confirms") {
+TEST_CASE(
+    "a starting process is ready once a settled control process has sent a configuration confirmed by a "
+    "majority") {
   ControlClient client({{"s"}, {"s:1"}, "z", {1}, {{"v0"}, {"v1"}, {"v2"}}});
   Items items;
   items.merge(route("look", 4));
-  const auto tell = [&](Span now, const char* at, const Message& message) {
+  const auto deliver = [&](Span now, const char* at, const Message& message) {
     client.heard(now, {at}, json::parse(encode(message)));
   };
   for (const char* at : {"v0", "v1"}) {
     client.reached(0s, {at});
-    tell(0s, at, welcomeOf({at}));
+    deliver(0s, at, welcomeOf({at}));
   }
-  tell(0s, "v1", settledHeartbeat(items.digest()));
+  deliver(0s, "v1", settledHeartbeat(items.digest()));
   CHECK_FALSE(client.ready(0s));
   ItemsReply reply;
   reply.items = {route("look", 4)};
   reply.confirmed = true;
-  SECTION("the same") { tell(1ms, "v0", reply); }
-  SECTION("not with what no majority has confirmed, also where two hold the same") {
-    tell(0s, "v0", settledHeartbeat(items.digest()));
+  SECTION("confirmed") { deliver(1ms, "v0", reply); }
+  SECTION("not without a majority's confirmation, even if two hold the same items") {
+    deliver(0s, "v0", settledHeartbeat(items.digest()));
     reply.confirmed = false;
-    tell(1ms, "v0", reply);
-    tell(1ms, "v1", settledHeartbeat(items.digest()));
+    deliver(1ms, "v0", reply);
+    deliver(1ms, "v1", settledHeartbeat(items.digest()));
     CHECK_FALSE(client.ready(1ms));
-    // Not with time alone either, as long as a settled one is in reach.
+    // Nor after any time while a settled control process is reachable.
     CHECK_FALSE(client.ready(10s));
     reply.confirmed = true;
     reply.items.clear();
-    tell(2ms, "v1", reply);
+    deliver(2ms, "v1", reply);
   }
   CHECK(client.ready(2ms));
 }
 
-TEST_CASE("settings are checked whole, and unknown fields ignored") {
+TEST_CASE("settings are validated completely, and unknown fields are ignored") {
   json settings{{"node_name", "n"},
                 {"ip", "10.0.0.1"},
                 {"zone", "a"},
@@ -645,48 +674,49 @@
   CHECK_FALSE(readSettings(settings.dump()));
 }
 
-TEST_CASE("the checker says what a change alters, and which route takes a path") {
-  const auto plan = readPlan(changeOf(route("look", 4).value));
-  REQUIRE(plan);
+TEST_CASE("the checker describes the effects of a change and the route of a request") {
+  const auto configuration = parseConfiguration(changeOf(route("look", 4).value));
+  REQUIRE(configuration);
   Items items;
-  for (const Item& item : plan.value()) items.merge(item);
-  const auto says = [](const std::vector<Remark>& remarks, const std::string& what) {
-    return std::any_of(remarks.begin(), remarks.end(),
-                       [&](const Remark& r) { return r.what.find(what) != r.what.npos; });
+  for (const Item& item : configuration.value()) items.merge(item);
+  const auto reports = [](const std::vector<Finding>& findings, const std::string& what) {
+    return std::any_of(findings.begin(), findings.end(),
+                       [&](const Finding& r) { return r.what.find(what) != r.what.npos; });
   };
-  CHECK(remarksOn(items).empty());
-  CHECK(says(alterations(items, {route("look", 3)}), "has no effect"));
-  CHECK(says(alterations(items, {route("look", 5, "100ms")}), "timeout"));
-  CHECK(says(alterations(items, {route("look", 5, "100ms")}), "shorter than target_time"));
+  CHECK(findIssues(items).empty());
+  CHECK(reports(describeChange(items, {route("look", 3)}), "has no effect"));
+  CHECK(reports(describeChange(items, {route("look", 5, "100ms")}), "timeout"));
+  CHECK(reports(describeChange(items, {route("look", 5, "100ms")}), "shorter than target_time"));
   Item drop = route("look", 6);
   drop.dropped = true;
   drop.value = nullptr;
-  CHECK(says(alterations(items, {drop}), "loses its last route"));
+  CHECK(reports(describeChange(items, {drop}), "loses its last route"));
   Item same = route("other", 5);
   same.value["path_prefix"] = "/look/";
-  CHECK(says(alterations(items, {same}), "stands at the place of"));
-  // What is read back is a plan too.
-  CHECK(readPlan(items.standing().dump()).value().size() == 2);
+  CHECK(reports(describeChange(items, {same}), "has the same host and path_prefix as"));
+  // The configuration as it is read back is accepted too.
+  CHECK(parseConfiguration(items.activeAsJson().dump()).value().size() == 2);
   bool found = false;
-  CHECK(wayOf(items, "a.example", "/look/1", found).back().find("taken: look") == 0);
+  CHECK(explainRoute(items, "a.example", "/look/1", found).back().find("taken: look") == 0);
   CHECK(found);
-  CHECK(wayOf(items, "b.example", "/look/1", found).front().find("the host is another") != std::string::npos);
+  CHECK(explainRoute(items, "b.example", "/look/1", found).front().find("the host differs") !=
+        std::string::npos);
   CHECK_FALSE(found);
 }
 
-TEST_CASE("each call stands in the one table") {
+TEST_CASE("API endpoints are found by socket, role, method and path") {
   bool known = false;
-  const auto beat =
+  const auto endpoint =
       findCall(CallSocket::control, CallBy::auxiliary, "PUT", "/rackroute/instances/i-1", known);
-  REQUIRE(beat);
-  CHECK(beat->name == "i-1");
+  REQUIRE(endpoint);
+  CHECK(endpoint->name == "i-1");
   CHECK_FALSE(findCall(CallSocket::control, CallBy::core, "DELETE", "/rackroute/config", known));
   CHECK(known);
   CHECK_FALSE(findCall(CallSocket::control, CallBy::core, "GET", "/rackroute/configs", known));
   CHECK_FALSE(known);
 }
 
-TEST_CASE("a whole mesh keeps the rules on drawn days, and plays a seed the same each time", ) {
+TEST_CASE("a simulated mesh keeps its rules under random faults, and a seed is reproducible", ) {
   lab::mesh::Day size;
   size.seconds = 22;
   size.perSecond = 90;
--- a/tests/promise_journal_test.cpp
+++ b/tests/promise_journal_test.cpp
@@ -1,4 +1,5 @@
-// How promises stand on disk and go to other voters: drawn lives against a plain model, and spoilt bytes.
+// The formats of promises on disk and in snapshots: random operations and restarts compared with a simple
+// model, and malformed input.
 
 #include "mesh/storage/promise_journal.hpp"
 
@@ -42,9 +43,9 @@
   }
 }
 
-/// The process with this disk, as it starts.
-struct Life {
-  explicit Life(const Disk& disk) {
+/// A process that starts with this disk.
+struct Process {
+  explicit Process(const Disk& disk) {
     for (const auto& [key, value] : disk) REQUIRE(journal.restore(key, value, promises).value());
     uptime = journal.resume(promises);
   }
@@ -59,7 +60,7 @@
   return text.dump();
 }
 
-/// That many promises, that many a record.
+/// Journal records of `count` promises, with `batch` promises each.
 Disk recordsOf(std::uint64_t count, std::uint64_t batch) {
   Disk disk;
   PromiseJournal journal;
@@ -76,80 +77,81 @@
 
 }  // namespace
 
-TEST_CASE("promises on disk are those of a plain model over drawn lives, and no restart shortens one",
+TEST_CASE("promises on disk match a simple model over random operations, and restarts never shorten them",
           "[promises]") {
-  std::mt19937 draw(11);
-  const auto below = [&](std::uint64_t end) { return draw() % end; };
+  std::mt19937 random(11);
+  const auto below = [&](std::uint64_t end) { return random() % end; };
   Disk disk;
-  std::map<KeyPrint, std::map<Holder, Span>> model;  // when promised, by the uptime of the present life
-  auto life = std::make_unique<Life>(disk);
+  std::map<KeyPrint, std::map<Holder, Span>> model;  // when promised, in the current process's uptime
+  auto process = std::make_unique<Process>(disk);
   std::uint64_t lastClaim = 0;
   std::size_t restored = 0;
   std::size_t ended = 0;
   for (int step = 0; step < 20'000; ++step) {
-    life->uptime += std::chrono::milliseconds(below(below(50) == 0 ? 20'000 : 200));
+    process->uptime += std::chrono::milliseconds(below(below(50) == 0 ? 20'000 : 200));
     std::vector<Change> changes;
     for (std::uint64_t i = below(6); i > 0; --i) {
       const KeyPrint key = keyNo(below(300));
       auto& holders = model[key];
       if (below(3) == 0 && !holders.empty()) {
         const Holder holder = holders.begin()->first;
-        REQUIRE(life->promises.giveBack(key, holder));
+        REQUIRE(process->promises.giveBack(key, holder));
         holders.erase(holder);
         changes.push_back({key, holder, true});
       } else if (below(5) == 0) {
         const Holder learned = holderNo(++lastClaim, below(9));
-        life->promises.learn(life->uptime, key, learned);
-        holders[learned] = life->uptime;
+        process->promises.learn(process->uptime, key, learned);
+        holders[learned] = process->uptime;
         changes.push_back({key, learned});
       } else {
         const Holder claimer = holderNo(++lastClaim, below(9));
-        if (life->promises.claim(life->uptime, key, claimer) != claimer) continue;
+        if (process->promises.claim(process->uptime, key, claimer) != claimer) continue;
         REQUIRE(holders.empty());
-        holders[claimer] = life->uptime;
+        holders[claimer] = process->uptime;
         changes.push_back({key, claimer});
       }
     }
-    if (!changes.empty()) write(disk, {life->journal.record(life->uptime, changes)});
-    write(disk, life->journal.expire(life->uptime, kKeep));
-    for (const KeyPrint& key : life->promises.expire(life->uptime)) {
-      for (const auto& [holder, at] : model[key]) REQUIRE(at + kKeep <= life->uptime);
+    if (!changes.empty()) write(disk, {process->journal.record(process->uptime, changes)});
+    write(disk, process->journal.expire(process->uptime, kKeep));
+    for (const KeyPrint& key : process->promises.expire(process->uptime)) {
+      for (const auto& [holder, at] : model[key]) REQUIRE(at + kKeep <= process->uptime);
       model[key].clear();
       ++ended;
     }
     if (below(100) > 0) continue;
-    const Span before = life->uptime;
-    life = std::make_unique<Life>(disk);
-    REQUIRE(life->uptime <= before);
+    const Span before = process->uptime;
+    process = std::make_unique<Process>(disk);
+    REQUIRE(process->uptime <= before);
     std::map<KeyPrint, std::map<Holder, Span>> held;
-    life->promises.each([&](const KeyPrint& key, const Holder& holder, Span at) { held[key][holder] = at; });
+    process->promises.each(
+        [&](const KeyPrint& key, const Holder& holder, Span at) { held[key][holder] = at; });
     for (const auto& [key, holders] : model) {
       for (const auto& [holder, at] : holders) {
-        if (at + kKeep <= before) continue;  // over, and held only because the key has others
+        if (at + kKeep <= before) continue;  // expired, and held only because the key has other holders
         REQUIRE(held[key].count(holder) == 1);
-        REQUIRE(held[key][holder] + kKeep - life->uptime >= at + kKeep - before);
+        REQUIRE(held[key][holder] + kKeep - process->uptime >= at + kKeep - before);
         ++restored;
       }
     }
     for (const auto& [key, holders] : held) {
       for (const auto& [holder, at] : holders) REQUIRE(model[key].count(holder) == 1);
     }
-    // Uptime goes on from the records', so that what is held keeps its own time.
+    // Uptime continues from the records, so the remaining holders keep their times.
     for (auto& [key, holders] : model)
       std::erase_if(holders, [&](const auto& entry) { return held[key].count(entry.first) == 0; });
   }
   CHECK(restored > 1000);
   CHECK(ended > 1000);
   CHECK(disk.size() < 3000);
-  write(disk, life->journal.clear());
+  write(disk, process->journal.clear());
   CHECK(disk.empty());
 }
 
-TEST_CASE("torn and foreign records of promises are errors and never more", "[promises]") {
+TEST_CASE("torn and unknown records of promises are rejected without any effect", "[promises]") {
   PromiseJournal journal;
   const StoreEntry entry = journal.record(
       5s, {{keyNo(1), holderNo(1)}, {keyNo(2), holderNo(300, 2)}, {keyNo(1), holderNo(1), true}});
-  const std::string& whole = *entry.second;
+  const std::string& complete = *entry.second;
   const auto restored = [&](const std::string& key, const std::string& value) {
     Promises promises(kKeep);
     PromiseJournal fresh;
@@ -157,57 +159,58 @@
     if (!result) CHECK(promises.all().empty());
     return result.has_value();
   };
-  REQUIRE(restored(entry.first, whole));
-  for (std::size_t size = 0; size < whole.size(); ++size)
-    CHECK_FALSE(restored(entry.first, whole.substr(0, size)));
-  CHECK_FALSE(restored(entry.first, whole + "x"));
+  REQUIRE(restored(entry.first, complete));
+  for (std::size_t size = 0; size < complete.size(); ++size)
+    CHECK_FALSE(restored(entry.first, complete.substr(0, size)));
+  CHECK_FALSE(restored(entry.first, complete + "x"));
   for (std::size_t size = 2; size < entry.first.size(); ++size)
-    CHECK_FALSE(restored(entry.first.substr(0, size), whole));
-  CHECK_FALSE(restored("p/" + std::string(16, '\xff'), whole));
-  CHECK_FALSE(restored(entry.first, "\x02" + whole.substr(1)));
+    CHECK_FALSE(restored(entry.first.substr(0, size), complete));
+  CHECK_FALSE(restored("p/" + std::string(16, '\xff'), complete));
+  CHECK_FALSE(restored(entry.first, "\x02" + complete.substr(1)));
   CHECK_FALSE(restored(entry.first, "[\"a\",1,2,3]"));
-  // Counts far beyond the bytes that follow.
+  // Counts that exceed the remaining bytes.
   CHECK_FALSE(restored(entry.first, "\x01" + std::string(9, '\xff') + "\x01"));
-  std::mt19937 draw(3);
+  std::mt19937 random(3);
   for (int i = 0; i < 20'000; ++i) {
-    std::string spoilt = whole;
-    for (auto n = draw() % 3 + 1; n > 0; --n) spoilt[draw() % spoilt.size()] = static_cast<char>(draw());
-    restored(entry.first, spoilt);
+    std::string corrupted = complete;
+    for (auto n = random() % 3 + 1; n > 0; --n)
+      corrupted[random() % corrupted.size()] = static_cast<char>(random());
+    restored(entry.first, corrupted);
   }
   for (const char* value : {"", "[", "{}", "[1,2,3]", "[\"a\",-1,2,3]", "[\"a\",1]"})
     CHECK_FALSE(restored("k/" + textOf(keyNo(1)), value));
   CHECK_FALSE(restored("k/short", oldValue(holderNo(1))));
 }
 
-TEST_CASE("promises of the old format are taken over, released and ended like the others", "[promises]") {
+TEST_CASE("promises in the old format are restored, released and expired like others", "[promises]") {
   Disk disk;
   for (std::uint64_t no = 1; no <= 3; ++no) disk["k/" + textOf(keyNo(no))] = oldValue(holderNo(no));
   {
-    Life life(disk);
-    REQUIRE(life.promises.holders(keyNo(1)) == std::vector{holderNo(1)});
-    CHECK(life.promises.giveBack(keyNo(1), holderNo(1)));
-    write(disk, {life.journal.record(10s, {{keyNo(1), holderNo(1), true}})});
+    Process process(disk);
+    REQUIRE(process.promises.holders(keyNo(1)) == std::vector{holderNo(1)});
+    CHECK(process.promises.giveBack(keyNo(1), holderNo(1)));
+    write(disk, {process.journal.record(10s, {{keyNo(1), holderNo(1), true}})});
   }
-  Life life(disk);
-  CHECK(life.uptime == 10s);
-  CHECK(life.promises.holders(keyNo(1)).empty());
-  CHECK(life.promises.holders(keyNo(2)) == std::vector{holderNo(2)});
-  CHECK(life.promises.expire(10s + kKeep - 1s).empty());
-  write(disk, life.journal.expire(10s + kKeep - 1s, kKeep));
-  CHECK(disk.size() == 3);  // the released one has gone
-  CHECK(life.promises.expire(10s + kKeep).size() == 2);
-  write(disk, life.journal.expire(10s + kKeep, kKeep));
+  Process process(disk);
+  CHECK(process.uptime == 10s);
+  CHECK(process.promises.holders(keyNo(1)).empty());
+  CHECK(process.promises.holders(keyNo(2)) == std::vector{holderNo(2)});
+  CHECK(process.promises.expire(10s + kKeep - 1s).empty());
+  write(disk, process.journal.expire(10s + kKeep - 1s, kKeep));
+  CHECK(disk.size() == 3);  // the released one was removed
+  CHECK(process.promises.expire(10s + kKeep).size() == 2);
+  write(disk, process.journal.expire(10s + kKeep, kKeep));
   CHECK(disk.empty());
   Promises promises(kKeep);
   CHECK_FALSE(PromiseJournal().restore("i/route", "{}", promises).value());
 }
 
-TEST_CASE("a snapshot gives another voter all holders with their ages, in bounded parts", "[promises]") {
+TEST_CASE("a snapshot transfers all holders with their ages in parts of bounded size", "[promises]") {
   Promises promises(kKeep);
   for (std::uint64_t no = 0; no < 8000; ++no)
     promises.learn(std::chrono::milliseconds(no), keyNo(no), holderNo(no, no % 100));
   for (std::uint64_t no = 0; no < 8000; no += 7) promises.learn(1s, keyNo(no), holderNo(no, 101));
-  const auto parts = snapshotOf(promises, 20s);
+  const auto parts = writeSnapshot(promises, 20s);
   CHECK(parts.size() > 1);
   Promises read(kKeep);
   read.learn(50s, keyNo(1), holderNo(9999));
@@ -224,30 +227,30 @@
     REQUIRE(read.all().at(keyNo(no)).at >= promises.all().at(keyNo(no)).at + 30s);
   }
   CHECK(read.holders(keyNo(1)).size() == 2);
-  CHECK(snapshotOf(Promises(kKeep), 20s).empty());
+  CHECK(writeSnapshot(Promises(kKeep), 20s).empty());
 
   Promises few(kKeep);
   few.learn(1s, keyNo(1), holderNo(1));
   few.learn(2s, keyNo(2), holderNo(2, 2));
-  const auto part = snapshotOf(few, 300s).at(0);
-  std::mt19937 draw(5);
+  const auto part = writeSnapshot(few, 300s).at(0);
+  std::mt19937 random(5);
   for (std::size_t size = 0; size < part.size(); ++size) {
     Promises none(kKeep);
     CHECK_FALSE(readSnapshot({part.begin(), part.begin() + static_cast<std::ptrdiff_t>(size)}, 9s, none));
     CHECK(none.all().empty());
   }
   for (int i = 0; i < 20'000; ++i) {
-    auto spoilt = part;
-    spoilt[draw() % spoilt.size()] = static_cast<std::uint8_t>(draw());
+    auto corrupted = part;
+    corrupted[random() % corrupted.size()] = static_cast<std::uint8_t>(random());
     Promises none(kKeep);
-    if (!readSnapshot(spoilt, 9s, none)) REQUIRE(none.all().empty());
+    if (!readSnapshot(corrupted, 9s, none)) REQUIRE(none.all().empty());
   }
   Promises none(kKeep);
   CHECK_FALSE(readSnapshot(bytesOf("{}"), 9s, none));
 }
 
-// Not a test: prints what a store of them takes, and how long a start reads it, before and now.
-TEST_CASE("how long a start reads a store of promises", "[.measure]") {
+// Benchmark: size of the store and time to read it, in the old format and the current one.
+TEST_CASE("time to restore promises from the store", "[.measure]") {
   const auto folder =
       std::filesystem::temp_directory_path() / ("rackroute-promises-" + std::to_string(::getpid()));
   const auto fill = [&](const Disk& disk) {
@@ -309,8 +312,8 @@
   std::filesystem::remove_all(folder);
 }
 
-// Not a test: prints what promises take on disk and how long it takes to read them, before and now.
-TEST_CASE("what promises take on disk and how long they take to read", "[.measure]") {
+// Benchmark: size of the promises on disk and time to read them, in the old format and the current one.
+TEST_CASE("size of promises on disk and time to read them", "[.measure]") {
   const auto secondsOf = [](const auto& work) {
     const auto start = std::chrono::steady_clock::now();
     work();
@@ -337,16 +340,16 @@
               << " bytes each, read in " << beforeTime * 1000 << " ms\n";
     for (const std::uint64_t batch : {1U, 8U, 32U}) {
       const Disk now = recordsOf(count, batch);
-      std::unique_ptr<Life> life;
-      const double time = secondsOf([&] { life = std::make_unique<Life>(now); });
-      REQUIRE(life->promises.all().size() == count);
+      std::unique_ptr<Process> process;
+      const double time = secondsOf([&] { process = std::make_unique<Process>(now); });
+      REQUIRE(process->promises.all().size() == count);
       double snapshotSize = 0;
       std::vector<std::vector<std::uint8_t>> parts;
-      const double made = secondsOf([&] { parts = snapshotOf(life->promises, life->uptime); });
+      const double made = secondsOf([&] { parts = writeSnapshot(process->promises, process->uptime); });
       for (const auto& part : parts) snapshotSize += static_cast<double>(part.size());
       Promises read(kKeep);
       const double taken = secondsOf([&] {
-        for (const auto& part : parts) REQUIRE(readSnapshot(part, life->uptime, read));
+        for (const auto& part : parts) REQUIRE(readSnapshot(part, process->uptime, read));
       });
       std::cout << count << " promises, " << batch
                 << " a record: " << sizeOf(now) / static_cast<double>(count) << " bytes each, read in "
@@ -357,11 +360,11 @@
   }
 }
 
-TEST_CASE("records of two lives with one uptime stand side by side", "[promises]") {
+TEST_CASE("processes that restart at the same uptime write distinct records", "[promises]") {
   Disk disk;
   for (std::uint64_t no = 1; no <= 5; ++no) {
-    Life life(disk);
-    write(disk, {life.journal.record(life.uptime, {{keyNo(no), holderNo(no)}})});
+    Process process(disk);
+    write(disk, {process.journal.record(process.uptime, {{keyNo(no), holderNo(no)}})});
   }
-  CHECK(Life(disk).promises.all().size() == 5);
+  CHECK(Process(disk).promises.all().size() == 5);
 }
--- a/tests/route_value.hpp
+++ b/tests/route_value.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// A route of the tests' configurations, as an operator sends it.
+// Builds the JSON of a route, as an operator sends it.
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
--- a/tests/sidecar_control_client_test.cpp
+++ b/tests/sidecar_control_client_test.cpp
@@ -114,8 +114,8 @@
   return Sidecar(built);
 }
 
-Beat beatOf(const std::string& id) {
-  Beat beat;
+ServerHeartbeat beatOf(const std::string& id) {
+  ServerHeartbeat beat;
   beat.id = {id};
   beat.service = {"desk"};
   beat.address = {"app"};
