--- a/src/mesh/configuration/error.hpp
+++ b/src/mesh/configuration/error.hpp
@@ -12,6 +12,7 @@
   std::string step;
   std::string peer;  // empty: no other process is involved
   std::string what;
+  /// The error in one line: step (peer): what.
   [[nodiscard]] std::string line() const {
     return step + (peer.empty() ? "" : " (" + peer + ")") + ": " + what;
   }
--- a/src/mesh/configuration/items.cpp
+++ b/src/mesh/configuration/items.cpp
@@ -175,8 +175,8 @@
 }
 
 bool Items::isNewer(const Item& item) const {
-  const Item* held = find(item.key);
-  return held == nullptr || held->generation < item.generation;
+  const Item* current = find(item.key);
+  return current == nullptr || current->generation < item.generation;
 }
 
 bool Items::merge(const Item& item) {
@@ -184,10 +184,10 @@
   if (found != items_.end() && found->second.generation > item.generation) return false;
   const std::uint64_t hash = item.hash != 0 ? item.hash : hashOf(item);
   if (found != items_.end()) {
-    const Item& held = found->second;
+    const Item& current = found->second;
     // If two operators used one version for different contents, all copies keep the one with the higher hash.
-    if (held.generation == item.generation && held.hash >= hash) return false;
-    digest_ ^= held.hash;
+    if (current.generation == item.generation && current.hash >= hash) return false;
+    digest_ ^= current.hash;
   }
   Item& stored = items_[item.key];
   stored = item;
@@ -250,8 +250,8 @@
   for (const Item& route : change) {
     for (const std::string& service : servicesOf(route)) {
       if (added.count(service) > 0) continue;
-      const Item* held = find({ItemKind::service, service});
-      if (held == nullptr || held->dropped || dropped.count(service) > 0) return service;
+      const Item* current = find({ItemKind::service, service});
+      if (current == nullptr || current->dropped || dropped.count(service) > 0) return service;
     }
   }
   return std::nullopt;
--- a/src/mesh/configuration/route_table.cpp
+++ b/src/mesh/configuration/route_table.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-std::string lowered(std::string_view text) {
+std::string toLower(std::string_view text) {
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(),
                  [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; });
@@ -66,7 +66,7 @@
     } else if (key.kind == ItemKind::route) {
       auto route = std::make_shared<const Route>(routeOf(item));
       for (const auto& target : route->targets) services.insert(target.first);
-      auto& slot = hosts_[lowered(item.hostname)][route->prefix];
+      auto& slot = hosts_[toLower(item.hostname)][route->prefix];
       // Two routes may share a host and prefix while one replaces the other; the newer one wins.
       if (!slot || slot->generation < route->generation) slot = std::move(route);
     }
@@ -77,7 +77,7 @@
 std::shared_ptr<const Route> RouteTable::find(std::string_view host, std::string_view path) const {
   if (const std::size_t colon = host.rfind(':'); colon != host.npos && host.find(']', colon) == host.npos)
     host = host.substr(0, colon);
-  const auto found = hosts_.find(lowered(host));
+  const auto found = hosts_.find(toLower(host));
   if (found == hosts_.end()) return nullptr;
   path = path.substr(0, path.find('?'));
   for (std::size_t end = path.rfind('/'); end != path.npos;
--- a/src/mesh/configuration/route_table.hpp
+++ b/src/mesh/configuration/route_table.hpp
@@ -13,6 +13,7 @@
 
 namespace rackroute::mesh {
 
+/// pure: may run any number of times; effectful: at most once; keyed: once for each operation key.
 enum class RouteKind { pure, effectful, keyed };
 
 struct Route {
--- a/src/mesh/routing/request_router.cpp
+++ b/src/mesh/routing/request_router.cpp
@@ -241,7 +241,7 @@
         call.shortestWait = std::min(call.shortestWait, reply.wait);
       }
       // A single process may be cut off from the quorum; a second one suggests that there is none.
-      if (verdict == Verdict::voteless && ++call.voteless > 1) call.refusals = kMaxRefusals;
+      if (verdict == Verdict::voteless && ++call.quorumRefusals > 1) call.refusals = kMaxRefusals;
       if (!call.pending.empty()) return actions;
       if (attempt.kind == Attempt::Kind::holder) break;  // the claim was released; the client may retry
       if (call.refusals < kMaxRefusals && sendToNext(now, no, call, actions)) return actions;
--- a/src/mesh/routing/request_router.hpp
+++ b/src/mesh/routing/request_router.hpp
@@ -103,9 +103,9 @@
     Span hedgeAt = Span::max();
     std::set<InstanceId> triedServers;
     std::map<AttemptNo, Attempt> pending;
-    std::uint32_t reached = 0;   // servers that the request may have reached
-    std::uint32_t refusals = 0;  // attempts that were not admitted
-    std::uint32_t voteless = 0;  // of these, for lack of a quorum
+    std::uint32_t reached = 0;         // servers that the request may have reached
+    std::uint32_t refusals = 0;        // attempts that were not admitted
+    std::uint32_t quorumRefusals = 0;  // of these, for lack of a quorum
     bool mayHaveRun = false;
     Span quorumRetryAfter{};                  // longest advice from refusals for lack of a quorum
     Span shortestWait = Span::max();          // shortest queue estimate from other refusals
--- a/src/mesh/storage/promise_journal.hpp
+++ b/src/mesh/storage/promise_journal.hpp
@@ -15,7 +15,8 @@
 //   count of claimers, for each: length of the address, the address, the life (8 bytes, little-endian)
 //   count of changes, for each: flags (1 byte), hash of the key (16 bytes), index of the claimer, number of
 //   the claim
-// A part of a snapshot has the same format, with the promise's age in milliseconds in place of the flags.
+// A part of a snapshot has the same format, but its entries have no flags and end with the promise's age in
+// milliseconds.
 
 #include <cstdint>
 #include <deque>
@@ -34,8 +35,8 @@
   /// Restores one entry of the store; called in the order of the keys. False: the entry doesn't belong to the
   /// journal. An error: it does, but is malformed, and the caller must treat the promises as lost.
   Result<bool> restore(const std::string& key, const std::string& value, Promises& promises);
-  /// Called after all entries: returns the uptime at which this life begins, from which promises of the old
-  /// format expire.
+  /// Called after all entries: returns the uptime at which this process begins, from which promises of the
+  /// old format expire.
   Span resume(Promises& promises);
   /// A promise or a release.
   struct Change {
--- a/tests/database_test.cpp
+++ b/tests/database_test.cpp
@@ -116,10 +116,10 @@
   std::size_t lost = 0;
 };
 
-RunResults runLives(std::uint64_t seed, bool syncsFolders) {
+RunResults runProcesses(std::uint64_t seed, bool syncsFolders) {
   Machine machine(seed, syncsFolders);
   RunResults results;
-  for (int life = 0; life < 12; ++life) {
+  for (int run = 0; run < 12; ++run) {
     // Processes may end while they open the database, while they write or in between.
     if (machine.below(3) > 0) machine.files().endAfter(machine.below(120));
     const OpenOutcome outcome = machine.start();
@@ -145,7 +145,7 @@
 TEST_CASE("crashes, power losses and full disks never corrupt the database or lose acknowledged writes",
           "[database]") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const RunResults results = runLives(seed, true);
+    const RunResults results = runProcesses(seed, true);
     INFO("seed " << seed);
     CHECK(results.unreadable == 0);
     CHECK(results.lost == 0);
@@ -156,7 +156,7 @@
 TEST_CASE("without folder syncs the database becomes corrupt and loses acknowledged writes", "[database]") {
   RunResults sum;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const RunResults results = runLives(seed, false);
+    const RunResults results = runProcesses(seed, false);
     sum.unreadable += results.unreadable;
     sum.lost += results.lost;
   }
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -425,13 +425,13 @@
   }
   SECTION(
       "the holder of a key is queried; if it is unreachable, the request itself is known not to have run") {
-    ForwardReply held;
-    held.verdict = Verdict::held;
-    held.holder = Holder{{"there:1"}, {4}, {9}};
+    ForwardReply claimed;
+    claimed.verdict = Verdict::held;
+    claimed.holder = Holder{{"there:1"}, {4}, {9}};
     RequestRouter router = callerRouter(RouteKind::keyed);
     const AttemptNo sent = send(router.handleRequest(1s, {1}, kClientRequest));
     const RoutingActions asking =
-        router.forwardEnded(1s, {1}, sent, ForwardResult::replied, held, 503, nullptr);
+        router.forwardEnded(1s, {1}, sent, ForwardResult::replied, claimed, 503, nullptr);
     REQUIRE(asking.size() == 1);
     CHECK(asking[0].at.value == "there:1");
     CHECK(asking[0].forward.holder == LifeNo{4});
@@ -442,7 +442,7 @@
     // Likewise at the client's deadline.
     RequestRouter waiting = callerRouter(RouteKind::keyed);
     send(waiting.forwardEnded(1s, {1}, send(waiting.handleRequest(1s, {1}, kClientRequest)),
-                              ForwardResult::replied, held, 503, nullptr));
+                              ForwardResult::replied, claimed, 503, nullptr));
     CHECK(waiting.tick(2500ms)[0].status == 503);
     // An earlier attempt of this request may have run.
     RequestRouter another = callerRouter(RouteKind::keyed);
@@ -450,7 +450,7 @@
         send(another.forwardEnded(1s, {1}, send(another.handleRequest(1s, {1}, kClientRequest)),
                                   ForwardResult::connectionLost, {}, 0, nullptr));
     const AttemptNo third =
-        send(another.forwardEnded(1s, {1}, second, ForwardResult::replied, held, 503, nullptr));
+        send(another.forwardEnded(1s, {1}, second, ForwardResult::replied, claimed, 503, nullptr));
     CHECK(another.forwardEnded(1s, {1}, third, ForwardResult::notSent, {}, 0, nullptr)[0].status == 502);
   }
   SECTION("a repeat of an operation with unknown outcome did not run itself") {
