--- a/src/mesh/control/agreement.cpp
+++ b/src/mesh/control/agreement.cpp
@@ -24,7 +24,7 @@
   std::vector<DecidedRegister> registers;
   registers.reserve(items.size());
   for (const Item& item : items) {
-    registers.push_back({registerOf(item), item.print != 0 ? item.print : printOf(item)});
+    registers.push_back({registerOf(item), item.hash != 0 ? item.hash : hashOf(item)});
   }
   return registers;
 }
@@ -160,7 +160,7 @@
   std::map<RegisterId, const Item*> items;
   for (const OrderPtr& order : orders) {
     for (const Item& item : order->items) {
-      if (history_.stateOf(item) == RegisterState::sameValue && config_.currentItems->newer(item)) {
+      if (history_.stateOf(item) == RegisterState::sameValue && config_.currentItems->isNewer(item)) {
         items.emplace(registerOf(item), &item);
       }
     }
--- a/src/mesh/control/decided_history.hpp
+++ b/src/mesh/control/decided_history.hpp
@@ -36,9 +36,7 @@
   void writeChanges(Effects& effects);
 
   [[nodiscard]] RegisterState stateOf(const RegisterId& id, std::uint64_t hash) const;
-  [[nodiscard]] RegisterState stateOf(const Item& item) const {
-    return stateOf(registerOf(item), item.print);
-  }
+  [[nodiscard]] RegisterState stateOf(const Item& item) const { return stateOf(registerOf(item), item.hash); }
   /// Returns nothing if the register is not known to be decided.
   [[nodiscard]] std::optional<DecidedRegister> find(const RegisterId& id) const;
   /// Returns the latest decided version of the register's item, if it is later than the register's. Always
--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -85,9 +85,9 @@
       node_.emplace(options_);  // discards entries that an earlier attempt restored
       const OpenOutcome outcome = store_.open(entry);
       if (outcome.state == OpenState::opened) return;
-      if (outcome.state == OpenState::foreign) throw std::runtime_error(outcome.error.line());
+      if (outcome.state == OpenState::unrecognized) throw std::runtime_error(outcome.error.line());
       if (!logged) log(LogLevel::error, outcome.error.step, outcome.error.peer, outcome.error.what);
-      if (outcome.state == OpenState::unreadable && setStoreAside()) continue;
+      if (outcome.state == OpenState::corrupt && setStoreAside()) continue;
       std::this_thread::sleep_for(kOpenRetryDelay);
     }
   }
@@ -192,7 +192,7 @@
               log(LogLevel::info, "change", "", action.body, {{"status", action.status}});
             std::string fields = "Content-Type: application/json\r\n";
             if (action.retryAfter > Span{0})
-              fields += "Retry-After: " + writeSeconds(action.retryAfter) + "\r\n";
+              fields += "Retry-After: " + formatSeconds(action.retryAfter) + "\r\n";
             found->second->respond(action.status, fields, action.body);
             calls_.erase(found);
           }
@@ -296,10 +296,10 @@
   options.keyWindow = settings.keyWindow;
   options.random = std::random_device{}();
   // Reported at startup rather than when the processes are lost.
-  if (const std::size_t tolerated = (options.founders - 1) / 2; tolerated < settings.bearableLosses) {
+  if (const std::size_t tolerated = (options.founders - 1) / 2; tolerated < settings.toleratedMachineLosses) {
     log(LogLevel::error, "settings", path,
         "too few control processes to tolerate the configured number of losses",
-        {{"voters", options.founders}, {"borne", tolerated}, {"asked", settings.bearableLosses}});
+        {{"voters", options.founders}, {"borne", tolerated}, {"asked", settings.toleratedMachineLosses}});
   }
   return ControlProgram(settings, std::move(options), path).run(settings);
 }
--- a/src/mesh/control/messages.hpp
+++ b/src/mesh/control/messages.hpp
@@ -251,7 +251,7 @@
   VoterId voter;
   std::uint64_t part = 0;
   bool last = false;
-  std::vector<std::uint8_t> promises;    // binary, as written by snapshotOf()
+  std::vector<std::uint8_t> promises;    // binary, as written by writeSnapshot()
   std::vector<AcceptedOrder> accepted;   // in the last part only
   std::vector<DecidedRegister> decided;  // in the last part only
 };
--- a/src/mesh/sidecar/main.cpp
+++ b/src/mesh/sidecar/main.cpp
@@ -37,7 +37,7 @@
   config.admission.server = settings.server;
   config.admission.drain = settings.drain;
   config.admission.keyWindow = settings.keyWindow;
-  config.admission.mostKept = (std::max(settings.memoryMb, kMinMemoryMb) << 20) / kKeptResponsesShare;
+  config.admission.maxCachedBytes = (std::max(settings.memoryMb, kMinMemoryMb) << 20) / kKeptResponsesShare;
   config.controlClient.node = settings.node;
   config.controlClient.at = settings.inbound;
   config.controlClient.zone = settings.zone;
--- a/src/mesh/sidecar/request_messages.cpp
+++ b/src/mesh/sidecar/request_messages.cpp
@@ -40,17 +40,17 @@
 ForwardResult resultOf(RequestOutcome outcome) {
   switch (outcome) {
     case RequestOutcome::completed:
-      return ForwardResult::told;
+      return ForwardResult::replied;
     case RequestOutcome::notSent:
     case RequestOutcome::partiallySent:  // the other process handles complete requests only
       return ForwardResult::notSent;
     case RequestOutcome::timedOut:
-      return ForwardResult::silent;
+      return ForwardResult::timedOut;
     case RequestOutcome::connectionLost:
     case RequestOutcome::malformedResponse:
       break;
   }
-  return ForwardResult::broken;
+  return ForwardResult::connectionLost;
 }
 
 // Statuses without a reply header are sent while the other sidecar reads a request: it was not handled.
@@ -105,7 +105,8 @@
   if (reply) {
     completion.reply = *reply;
   } else {
-    completion.result = isRejection(completion.status) ? ForwardResult::notSent : ForwardResult::broken;
+    completion.result =
+        isRejection(completion.status) ? ForwardResult::notSent : ForwardResult::connectionLost;
   }
   return completion;
 }
@@ -114,7 +115,7 @@
   ServerCompletion completion;
   switch (outcome) {
     case RequestOutcome::completed:
-      completion.result = AtServer::answered;
+      completion.result = ExecutionResult::answered;
       completion.answer.status = response->status();
       completion.answer.notRun =
           response->field(kNotRunHeader).has_value() || response->status() == kMisdirectedRequest;
@@ -122,13 +123,13 @@
       completion.answer.size = response->body().size() + kHeadBytes;
       break;
     case RequestOutcome::notSent:
-      completion.result = AtServer::notSent;
+      completion.result = ExecutionResult::notSent;
       break;
     case RequestOutcome::timedOut:
-      completion.result = AtServer::timedOut;
+      completion.result = ExecutionResult::timedOut;
       break;
     case RequestOutcome::malformedResponse:
-      completion.result = AtServer::spoilt;
+      completion.result = ExecutionResult::malformed;
       break;
     case RequestOutcome::partiallySent:  // a server may start before it has received the whole body
     case RequestOutcome::connectionLost:
--- a/src/mesh/sidecar/request_messages.hpp
+++ b/src/mesh/sidecar/request_messages.hpp
@@ -30,7 +30,7 @@
 
 /// The result of a forward. `reply` and `status` are set if the other sidecar responded.
 struct ForwardCompletion {
-  ForwardResult result = ForwardResult::broken;
+  ForwardResult result = ForwardResult::connectionLost;
   ForwardReply reply;
   std::uint32_t status = 0;
 };
@@ -38,7 +38,7 @@
 
 /// The result of a request to the local server.
 struct ServerCompletion {
-  AtServer result = AtServer::broken;
+  ExecutionResult result = ExecutionResult::connectionLost;
   ServerAnswer answer;
 };
 ServerCompletion serverCompletion(RequestOutcome outcome, const RequestRef& response);
--- a/src/mesh/sidecar/server_heartbeat.cpp
+++ b/src/mesh/sidecar/server_heartbeat.cpp
@@ -6,9 +6,9 @@
 
 namespace rackroute::mesh {
 
-Result<Beat> parseServerHeartbeat(std::string_view id, std::string_view body) {
+Result<ServerHeartbeat> parseServerHeartbeat(std::string_view id, std::string_view body) {
   const nlohmann::json text = nlohmann::json::parse(body, nullptr, false);
-  Beat heartbeat;
+  ServerHeartbeat heartbeat;
   heartbeat.id = {std::string(id)};
   try {
     const nlohmann::json& details = text.at("details");
@@ -19,7 +19,7 @@
     heartbeat.capacity = details.value("capacity", 1U);
     heartbeat.draining = observed.at("phase") == "draining";
     heartbeat.seq = observed.at("call_seq").get<std::uint64_t>();
-    heartbeat.coldLeft = readSpan(observed.value("cold_left", std::string("0ms"))).value_or(Span{0});
+    heartbeat.coldLeft = parseDuration(observed.value("cold_left", std::string("0ms"))).value_or(Span{0});
   } catch (const nlohmann::json::exception& error) {
     Error invalid = failure("beat", error.what());
     invalid.peer = std::string(id);
--- a/src/mesh/sidecar/server_heartbeat.hpp
+++ b/src/mesh/sidecar/server_heartbeat.hpp
@@ -11,6 +11,6 @@
 namespace rackroute::mesh {
 
 /// Parses the heartbeat body of the server with the given ID. The error describes the invalid field.
-Result<Beat> parseServerHeartbeat(std::string_view id, std::string_view body);
+Result<ServerHeartbeat> parseServerHeartbeat(std::string_view id, std::string_view body);
 
 }  // namespace rackroute::mesh
--- a/src/mesh/sidecar/sidecar.cpp
+++ b/src/mesh/sidecar/sidecar.cpp
@@ -20,9 +20,9 @@
 // Control processes that must persist a server's departure before it is acknowledged; one disk may be lost.
 constexpr std::size_t kRecordReplicas = 2;
 
-ForwardOutcomes::Limits outcomeLimits(const Admission::Built& admission) {
+ForwardOutcomes::Limits outcomeLimits(const Admission::Config& admission) {
   ForwardOutcomes::Limits limits;
-  limits.maxResponseBytes = admission.mostKept / kOutcomeShare;
+  limits.maxResponseBytes = admission.maxCachedBytes / kOutcomeShare;
   return limits;
 }
 
@@ -58,12 +58,12 @@
       case AdmissionAction::Kind::claim:
         claims.claims.emplace_back(action.claim, action.key);
         break;
-      case AdmissionAction::Kind::giveBack:
+      case AdmissionAction::Kind::releaseClaim:
         released.claims.emplace_back(action.claim, action.key);
         break;
-      case AdmissionAction::Kind::tell:
+      case AdmissionAction::Kind::announce:
         // The local router need not wait for the update to come back from the control plane.
-        router_.told(now, action.served, true);
+        router_.updateServer(now, action.served, true);
         servers.servers.push_back({action.served, true});
         out.serverChanges.push_back(std::move(action.served));
         break;
@@ -77,9 +77,9 @@
 // Sends the response to a forward, and to the outcome queries that wait for it.
 void Sidecar::respond(Span now, AdmissionAction action, SidecarActions& out) {
   for (const InboundRequestId waiter :
-       outcomes_.complete(now, action.ask, action.told, action.bytes, action.size)) {
+       outcomes_.complete(now, action.request, action.reply, action.bytes, action.size)) {
     AdmissionAction same = action;
-    same.ask = waiter;
+    same.request = waiter;
     out.admission.push_back(std::move(same));
   }
   out.admission.push_back(std::move(action));
@@ -96,7 +96,7 @@
         out.control.push_back(std::move(action));
         break;
       case ControlClientAction::Kind::serverUpdate:
-        router_.told(now, action.serverStatus.served, action.serverStatus.connected);
+        router_.updateServer(now, action.serverStatus.served, action.serverStatus.connected);
         handle(now, admission_.adopt(now, action.serverStatus.served), out);
         break;
       case ControlClientAction::Kind::recorded: {
@@ -125,13 +125,13 @@
           handle(now, admission_.claimEnded(now, *ended), out);
         break;
       case ControlClientAction::Kind::highestLife:
-        handle(now, admission_.followLife(action.life), out);
+        handle(now, admission_.continueAfterLife(action.life), out);
         break;
       case ControlClientAction::Kind::sessionReady:
         sendServers(action.at, out);
         break;
       case ControlClientAction::Kind::memberCount:
-        if (controlClient_.memberCount() > 0) router_.processes(controlClient_.memberCount());
+        if (controlClient_.memberCount() > 0) router_.setProcessCount(controlClient_.memberCount());
         break;
     }
   }
@@ -161,21 +161,21 @@
 
 void Sidecar::configure(Span now, SidecarActions& out) {
   configureAt_.reset();
-  router_.configured(controlClient_.items());
+  router_.configure(controlClient_.items());
   handle(now, controlClient_.follow(router_.routes().services()), out);
 }
 
-SidecarActions Sidecar::requestReceived(Span now, CallNo call, const Asked& request) {
+SidecarActions Sidecar::requestReceived(Span now, CallNo call, const ClientRequest& request) {
   SidecarActions out;
-  out.routing = router_.asked(now, call, request);
+  out.routing = router_.handleRequest(now, call, request);
   return out;
 }
 
-SidecarActions Sidecar::forwardCompleted(Span now, CallNo call, TryNo attempt, ForwardResult result,
+SidecarActions Sidecar::forwardCompleted(Span now, CallNo call, AttemptNo attempt, ForwardResult result,
                                          const ForwardReply& reply, std::uint32_t status,
                                          std::shared_ptr<const void> bytes) {
   SidecarActions out;
-  out.routing = router_.forwarded(now, call, attempt, result, reply, status, std::move(bytes));
+  out.routing = router_.forwardEnded(now, call, attempt, result, reply, status, std::move(bytes));
   return out;
 }
 
@@ -185,11 +185,11 @@
   ForwardOutcomes::Arrival arrival = outcomes_.receive(now, id, request);
   switch (arrival.kind) {
     case ForwardOutcomes::Arrival::Kind::admit:
-      handle(now, admission_.asked(now, id, request, key), out);
+      handle(now, admission_.handleRequest(now, id, request, key), out);
       break;
     case ForwardOutcomes::Arrival::Kind::respond: {
       AdmissionAction action{AdmissionAction::Kind::answer, id};
-      action.told = std::move(arrival.reply);
+      action.reply = std::move(arrival.reply);
       action.bytes = std::move(arrival.bytes);
       out.admission.push_back(std::move(action));
       break;
@@ -200,10 +200,10 @@
   return out;
 }
 
-SidecarActions Sidecar::executionEnded(Span now, InboundRequestId id, AtServer result,
+SidecarActions Sidecar::executionEnded(Span now, InboundRequestId id, ExecutionResult result,
                                        const ServerAnswer& answer) {
   SidecarActions out;
-  handle(now, admission_.ran(now, id, result, answer), out);
+  handle(now, admission_.executionEnded(now, id, result, answer), out);
   return out;
 }
 
@@ -219,9 +219,9 @@
   return out;
 }
 
-SidecarActions Sidecar::serverCalled(Span now, ServerCallNo call, const Beat& heartbeat) {
+SidecarActions Sidecar::serverCalled(Span now, ServerCallNo call, const ServerHeartbeat& heartbeat) {
   SidecarActions out;
-  handle(now, admission_.beat(now, heartbeat), out);
+  handle(now, admission_.heartbeat(now, heartbeat), out);
   const bool departs = heartbeat.draining || heartbeat.gone;
   if (!departs || departures_.isRecorded(heartbeat.id, heartbeat.gone)) {
     out.callResponses.push_back({call, true});
--- a/src/mesh/sidecar/sidecar.hpp
+++ b/src/mesh/sidecar/sidecar.hpp
@@ -36,25 +36,26 @@
 class Sidecar {
  public:
   struct Config {
-    RequestRouter::Built router;
-    Admission::Built admission;
+    RequestRouter::Config router;
+    Admission::Config admission;
     ControlClient::Config controlClient;
   };
   explicit Sidecar(Config config);
 
-  SidecarActions requestReceived(Span now, CallNo call, const Asked& request);
-  SidecarActions forwardCompleted(Span now, CallNo call, TryNo attempt, ForwardResult result,
+  SidecarActions requestReceived(Span now, CallNo call, const ClientRequest& request);
+  SidecarActions forwardCompleted(Span now, CallNo call, AttemptNo attempt, ForwardResult result,
                                   const ForwardReply& reply, std::uint32_t status,
                                   std::shared_ptr<const void> bytes);
   SidecarActions forwardReceived(Span now, InboundRequestId id, const ForwardRequest& request,
                                  const std::optional<std::string>& key);
-  SidecarActions executionEnded(Span now, InboundRequestId id, AtServer result, const ServerAnswer& answer);
+  SidecarActions executionEnded(Span now, InboundRequestId id, ExecutionResult result,
+                                const ServerAnswer& answer);
   /// The client of a local request has closed its connection.
   SidecarActions requestAbandoned(Span now, CallNo call);
   /// The connection of a forward received from another process was closed before its response.
   SidecarActions forwardAbandoned(Span now, InboundRequestId id);
   /// The local server reported its state. Answered at once, or for a departure once that is recorded.
-  SidecarActions serverCalled(Span now, ServerCallNo call, const Beat& heartbeat);
+  SidecarActions serverCalled(Span now, ServerCallNo call, const ServerHeartbeat& heartbeat);
   SidecarActions sessionOpened(Span now, const Address& control);
   SidecarActions sessionClosed(Span now, const Address& control);
   /// Handles one message of a control process; see ControlClient::handleMessage.
@@ -71,7 +72,7 @@
     return controlClient_.ready(now) && (hasServed_ || !configureAt_);
   }
   [[nodiscard]] bool ready(Span now) const { return !draining_ && serving(now); }
-  [[nodiscard]] std::size_t inFlight() const { return router_.atWork() + admission_.atWork(); }
+  [[nodiscard]] std::size_t inFlight() const { return router_.inFlight() + admission_.inFlight(); }
   [[nodiscard]] const RequestRouter& router() const { return router_; }
   [[nodiscard]] const Admission& admission() const { return admission_; }
   [[nodiscard]] const ControlClient& controlClient() const { return controlClient_; }
--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -127,7 +127,7 @@
     const auto route = sidecar_.router().routes().find(request.field("Host").value_or(""), request.word(1));
     if (!route) return true;
     const Span maximum = std::min(clientTimeout(request).value_or(route->timeout), route->timeout);
-    return deadline_.accepts(now, route->aim, maximum);
+    return deadline_.accepts(now, route->targetTime, maximum);
   }
 
   // A request of a local client.
@@ -137,13 +137,13 @@
     if (!sidecar_.serving(loop_.now())) return connection->respond(503, "Retry-After: 0.3\r\n", "");
     if (deadline_.stopping() && !canComplete(*request)) {
       const Span retryAfter = std::max(Span{0}, deadline_.exitAt() - loop_.now()) + kRestartTime;
-      return connection->respond(503, "Retry-After: " + writeSeconds(retryAfter) + "\r\n", "");
+      return connection->respond(503, "Retry-After: " + formatSeconds(retryAfter) + "\r\n", "");
     }
     const CallNo call{++lastCall_};
-    Asked summary;
+    ClientRequest summary;
     summary.host = request->field("Host").value_or("");
     summary.path = request->word(1);
-    summary.patience = clientTimeout(*request);
+    summary.timeout = clientTimeout(*request);
     calls_[call] = {connection, request};
     execute(sidecar_.requestReceived(loop_.now(), call, summary));
   }
@@ -193,12 +193,12 @@
     if (!match) return connection->respond(known ? 405 : 404, "", "");
     if (match->endpoint->kind == ApiCall::readiness)
       return connection->respond(sidecar_.ready(loop_.now()) ? 200 : 503, "", "");
-    Beat heartbeat;
+    ServerHeartbeat heartbeat;
     if (match->endpoint->kind == ApiCall::serverDeregistration) {
       heartbeat.id = {std::string(match->name)};
       heartbeat.gone = true;
     } else {
-      Result<Beat> read = parseServerHeartbeat(match->name, request.body());
+      Result<ServerHeartbeat> read = parseServerHeartbeat(match->name, request.body());
       if (!read) {
         log(LogLevel::warning, read.error().step, read.error().peer, read.error().what);
         return connection->respond(400, "", "");
@@ -256,13 +256,13 @@
       open.connection->relay(std::static_pointer_cast<const http::Message>(action.bytes), "");
     } else {
       std::string fields;
-      if (action.comeBack > Span{0}) fields = "Retry-After: " + writeSeconds(action.comeBack) + "\r\n";
+      if (action.retryAfter > Span{0}) fields = "Retry-After: " + formatSeconds(action.retryAfter) + "\r\n";
       open.connection->respond(action.status, fields, "");
     }
   }
 
   void cancelForward(const RoutingAction& action) {
-    const auto forward = forwards_.find(action.sent);
+    const auto forward = forwards_.find(action.attempt);
     if (forward == forwards_.end()) return;
     forward->second.cancel();
     forwards_.erase(forward);
@@ -270,16 +270,16 @@
 
   void forward(const OpenRequest& open, const RoutingAction& action) {
     const Span now = loop_.now();
-    forwards_[action.sent] = forwardClient_.send(
-        action.at, forwardMessage(open.request, action.ask), {}, open.request->word(0) == "HEAD",
-        now + action.ask.left + kServerMargin + kForwardMargin,
-        [this, call = action.call, attempt = action.sent](RequestOutcome outcome, RequestRef response) {
+    forwards_[action.attempt] = forwardClient_.send(
+        action.at, forwardMessage(open.request, action.forward), {}, open.request->word(0) == "HEAD",
+        now + action.forward.left + kServerMargin + kForwardMargin,
+        [this, call = action.call, attempt = action.attempt](RequestOutcome outcome, RequestRef response) {
           forwardCompleted(call, attempt, outcome, std::move(response));
         },
-        now + action.ask.left - kSendMargin);
+        now + action.forward.left - kSendMargin);
   }
 
-  void forwardCompleted(CallNo call, TryNo attempt, RequestOutcome outcome, RequestRef response) {
+  void forwardCompleted(CallNo call, AttemptNo attempt, RequestOutcome outcome, RequestRef response) {
     forwards_.erase(attempt);
     const ForwardCompletion completion = forwardCompletion(outcome, response.get());
     sentCounts_.count(completion.reply.verdict);
@@ -288,14 +288,14 @@
   }
 
   void execute(AdmissionAction& action) {
-    const auto found = inbound_.find(action.ask);
+    const auto found = inbound_.find(action.request);
     if (found == inbound_.end()) return;
     if (action.kind == AdmissionAction::Kind::run) return runOnServer(found->second, action);
-    if (action.kind == AdmissionAction::Kind::cancel) return cancelExecution(action.ask);
+    if (action.kind == AdmissionAction::Kind::cancel) return cancelExecution(action.request);
     const OpenRequest open = std::move(found->second);
     inbound_.erase(found);
-    const std::string reply = replyFields(action.told);
-    receivedCounts_.count(action.told.verdict);
+    const std::string reply = replyFields(action.reply);
+    receivedCounts_.count(action.reply.verdict);
     if (!action.bytes) return open.connection->respond(503, reply, "");
     std::string fields;
     if (const auto attemptId = open.request->field(kAttemptIdHeader))
@@ -314,10 +314,10 @@
   void runOnServer(const OpenRequest& open, const AdmissionAction& action) {
     const std::string attemptId(open.request->field(kAttemptIdHeader).value_or(""));
     const Span now = loop_.now();
-    executions_[action.ask] = serverClient_.send(
+    executions_[action.request] = serverClient_.send(
         action.server, serverMessage(open.request, action), attemptId, open.request->word(0) == "HEAD",
         now + action.left + kServerMargin,
-        [this, id = action.ask](RequestOutcome outcome, const RequestRef& response) {
+        [this, id = action.request](RequestOutcome outcome, const RequestRef& response) {
           executions_.erase(id);
           const ServerCompletion completion = serverCompletion(outcome, response);
           this->execute(sidecar_.executionEnded(loop_.now(), id, completion.result, completion.answer));
@@ -341,8 +341,8 @@
   void tick() {
     if (clientListener_) {
       const Limits& limits = sidecar_.router().routes().limits();
-      clientListener_->headerTimeout = limits.header;
-      clientListener_->idleTimeout = limits.idle;
+      clientListener_->headerTimeout = limits.headerTimeout;
+      clientListener_->idleTimeout = limits.idleTimeout;
     }
     execute(sidecar_.tick(loop_.now()));
     if (const bool ready = sidecar_.ready(loop_.now()); ready != loggedReady_) {
@@ -401,7 +401,7 @@
   std::map<CallNo, OpenRequest> calls_;
   std::map<InboundRequestId, OpenRequest> inbound_;
   std::map<ServerCallNo, std::shared_ptr<HttpServerConnection>> serverCalls_;  // not answered yet
-  std::map<TryNo, HttpClient::RequestHandle> forwards_;                        // to other sidecars
+  std::map<AttemptNo, HttpClient::RequestHandle> forwards_;                    // to other sidecars
   std::map<InboundRequestId, HttpClient::RequestHandle> executions_;           // at the local server
   sidecar::Loop::TimerId tickTimer_;
   Span nextTickAt_{};
--- a/tests/control_agreement_test.cpp
+++ b/tests/control_agreement_test.cpp
@@ -20,7 +20,7 @@
   item.key = {ItemKind::service, "s" + std::to_string(name)};
   item.generation = {version};
   item.value = {{"value", value}};
-  item.print = printOf(item);
+  item.hash = hashOf(item);
   return item;
 }
 
@@ -155,7 +155,7 @@
       std::vector<Item> list;
       for (auto& [key, item] : items) list.push_back(item);
       orders_.push_back(makeOrder(std::move(list)));
-      for (const Item& item : orders_.back()->items) orderOf_[item.print] = orders_.back();
+      for (const Item& item : orders_.back()->items) orderOf_[item.hash] = orders_.back();
       propose(randomBelow(processes_.size()), orders_.back());
       if (randomBelow(3) == 0) propose(randomBelow(processes_.size()), orders_.back());
     }
@@ -176,7 +176,7 @@
       std::size_t other = 0;
       for (const Item& item : call.order->items) {
         const auto found = chosen_.find(registerOf(item));
-        if (found != chosen_.end()) ++(found->second == item.print ? same : other);
+        if (found != chosen_.end()) ++(found->second == item.hash ? same : other);
       }
       if (*call.result == OrderResult::decided && same != call.order->items.size())
         reportViolation("acknowledged order not fully decided");
@@ -225,7 +225,7 @@
         process.id, randomBelow(1'000'000'000), &process.items, [](const VoterSet&, bool) { return true; }});
     for (const auto& [key, value] : process.disk) {
       if (!process.agreement->restore(key, value))
-        process.items.merge(itemFrom(nlohmann::json::parse(value)));
+        process.items.merge(itemFromJson(nlohmann::json::parse(value)));
     }
     Effects effects;
     process.agreement->setVoters(process.set, now_, effects);
@@ -280,7 +280,7 @@
     voters.insert(process.id);
     if (voters.size() < set.quorum()) return;
     for (const Item& item : accepted.order->items) {
-      if (chosen_.emplace(registerOf(item), item.print).first->second != item.print)
+      if (chosen_.emplace(registerOf(item), item.hash).first->second != item.hash)
         reportViolation("two values accepted by a majority");
     }
   }
@@ -289,14 +289,14 @@
     for (const Item& item : items) {
       const auto found = chosen_.find(registerOf(item));
       if (found == chosen_.end()) reportViolation("item applied before a majority durably accepted it");
-      if (found != chosen_.end() && found->second != item.print)
+      if (found != chosen_.end() && found->second != item.hash)
         reportViolation("item applied with a value that was not chosen");
     }
     if (faults_.equalItems) return;  // another order with an equal item may have been applied before
     for (const Item& item : items) {
-      const OrderPtr& order = orderOf_.at(item.print);
+      const OrderPtr& order = orderOf_.at(item.hash);
       const bool complete = std::all_of(order->items.begin(), order->items.end(),
-                                        [&](const Item& one) { return !process.items.newer(one); });
+                                        [&](const Item& one) { return !process.items.isNewer(one); });
       if (!complete) reportViolation("order applied partially");
     }
   }
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-Beat draining(const std::string& id, std::uint64_t seq) {
-  Beat made = beat(id, seq);
+ServerHeartbeat draining(const std::string& id, std::uint64_t seq) {
+  ServerHeartbeat made = heartbeat(id, seq);
   made.draining = true;
   return made;
 }
 
-Beat signOff(const std::string& id) {
-  Beat made;
+ServerHeartbeat signOff(const std::string& id) {
+  ServerHeartbeat made;
   made.id = {id};
   made.gone = true;
   return made;
@@ -28,7 +28,8 @@
 
 /// Whether a request for the server "i1" is admitted.
 bool admits(Admission& here, Span now, std::uint64_t number) {
-  const AdmissionActions acts = here.asked(now, {number}, ask(RouteKind::pure), std::nullopt);
+  const AdmissionActions acts =
+      here.handleRequest(now, {number}, forwardRequest(RouteKind::pure), std::nullopt);
   return countOf(acts, AdmissionAction::Kind::run) == 1;
 }
 
@@ -44,12 +45,12 @@
 TEST_CASE("a server that announced its departure gets no new requests after its sidecar restarted") {
   Admission here = admissionWithVoters();
   SECTION("its first heartbeat to the new sidecar says that it drains") {
-    here.beat(0s, draining("i1", 9));
+    here.heartbeat(0s, draining("i1", 9));
     CHECK_FALSE(admits(here, 0s, 1));
   }
   SECTION("it signs off before its first heartbeat, and a late heartbeat follows") {
-    here.beat(0s, signOff("i1"));
-    here.beat(100ms, beat("i1", 8));
+    here.heartbeat(0s, signOff("i1"));
+    here.heartbeat(100ms, heartbeat("i1", 8));
     CHECK_FALSE(admits(here, 200ms, 1));
   }
   SECTION("it was restored from an old record, and a newer record says that it drains") {
@@ -64,12 +65,12 @@
     Served gone = servedOnNode(6);
     gone.gone = true;
     here.adopt(0s, gone);
-    here.beat(10ms, beat("i1", 8));
+    here.heartbeat(10ms, heartbeat("i1", 8));
     CHECK_FALSE(admits(here, 20ms, 1));
   }
   SECTION("a draining heartbeat that arrives late takes effect, too") {
-    here.beat(0s, beat("i1", 9));
-    here.beat(100ms, draining("i1", 8));
+    here.heartbeat(0s, heartbeat("i1", 9));
+    here.heartbeat(100ms, draining("i1", 8));
     CHECK_FALSE(admits(here, 5s, 1));
   }
 }
--- a/tests/forwarding_test.cpp
+++ b/tests/forwarding_test.cpp
@@ -269,7 +269,7 @@
     std::size_t caller = 0;
     std::uint64_t callerLife = 0;
     CallNo call;
-    TryNo attemptNo;
+    AttemptNo attemptNo;
     std::size_t to = 0;
     ForwardRequest request;
     std::uint64_t attempt = 0;
@@ -334,28 +334,28 @@
     ServerSidecar& sidecar = serverSidecars_[i];
     sidecar.life = {++lastLife_};
     sidecar.suspendedUntil = Span{0};
-    sidecar.admission = std::make_unique<Admission>(Admission::Built{{"n" + std::to_string(i)},
-                                                                     {"at" + std::to_string(i)},
-                                                                     "z",
-                                                                     sidecar.life,
-                                                                     {"desk"},
-                                                                     {"app"},
-                                                                     2500ms,
-                                                                     60s,
-                                                                     1 << 20});
+    sidecar.admission = std::make_unique<Admission>(Admission::Config{{"n" + std::to_string(i)},
+                                                                      {"at" + std::to_string(i)},
+                                                                      "z",
+                                                                      sidecar.life,
+                                                                      {"desk"},
+                                                                      {"app"},
+                                                                      2500ms,
+                                                                      60s,
+                                                                      1 << 20});
     sidecar.outcomes = std::make_unique<ForwardOutcomes>(sidecar.life, ForwardOutcomes::Limits{});
     setVoters(*sidecar.admission);
-    Beat heartbeat;
+    ServerHeartbeat heartbeat;
     heartbeat.id = {instance(i)};
     heartbeat.service = {"desk"};
     heartbeat.address = {"app"};
     heartbeat.capacity = 3;
     heartbeat.seq = 1;
-    execute(i, sidecar.admission->beat(now_, heartbeat));
+    execute(i, sidecar.admission->heartbeat(now_, heartbeat));
     // Each caller learns of the new process at a different time.
     for (std::size_t c = 0; c < kCallers; ++c) {
       in(randomSpan(1ms, 400ms), [this, c, state = serverState(i)] {
-        if (callers_[c].router) callers_[c].router->told(now_, state, true);
+        if (callers_[c].router) callers_[c].router->updateServer(now_, state, true);
       });
     }
   }
@@ -366,8 +366,8 @@
     caller.suspendedUntil = Span{0};
     caller.open.clear();  // their clients' connections close without a response
     caller.router = std::make_unique<RequestRouter>(
-        RequestRouter::Built{{"c" + std::to_string(i)}, "z", {"line"}, {5, 1000, 10s}, caller.life});
-    caller.router->processes(1);
+        RequestRouter::Config{{"c" + std::to_string(i)}, "z", {"line"}, {5, 1000, 10s}, caller.life});
+    caller.router->setProcessCount(1);
     Items items;
     for (const char* kind : {"pure", "effectful", "keyed"}) {
       Item item;
@@ -381,8 +381,8 @@
                     {"generation", "r1"}};
       items.merge(item);
     }
-    caller.router->configured(items);
-    for (std::size_t b = 0; b < kServerSidecars; ++b) caller.router->told(now_, serverState(b), true);
+    caller.router->configure(items);
+    for (std::size_t b = 0; b < kServerSidecars; ++b) caller.router->updateServer(now_, serverState(b), true);
   }
 
   void tickCaller(std::size_t i) {
@@ -437,8 +437,9 @@
       if (operation.until <= now_) return;
       const CallNo no{++callCount_};
       callers_[i].open[no] = {operation, attempt};
-      const Asked asked{"a.example", kPaths[static_cast<int>(operation.kind)], operation.until - now_};
-      execute(i, callers_[i].router->asked(now_, no, asked));
+      const ClientRequest asked{"a.example", kPaths[static_cast<int>(operation.kind)],
+                                operation.until - now_};
+      execute(i, callers_[i].router->handleRequest(now_, no, asked));
       if (withProbability(faults_.clientDisconnects)) disconnectClient(i, no);
     });
   }
@@ -467,7 +468,7 @@
         continue;
       }
       if (action.kind == RoutingAction::Kind::cancel) {
-        const ForwardRef forward = forwards_.at({callers_[i].life, action.sent});
+        const ForwardRef forward = forwards_.at({callers_[i].life, action.attempt});
         forward->ended = true;
         closeConnection(forward);
         continue;
@@ -506,7 +507,7 @@
     }
     next.until = open.operation.until;
     if (!retry || ++next.tries > 3 || next.until - now_ < 50ms) return;
-    in(action.comeBack + 1ms, [this, next] { sendRequest(next); });
+    in(action.retryAfter + 1ms, [this, next] { sendRequest(next); });
   }
 
   // --- network between the sidecars
@@ -516,9 +517,9 @@
     forward->caller = i;
     forward->callerLife = callers_[i].life;
     forward->call = action.call;
-    forward->attemptNo = action.sent;
+    forward->attemptNo = action.attempt;
     forward->to = static_cast<std::size_t>(std::stoul(action.at.value.substr(2)));
-    forward->request = action.ask;
+    forward->request = action.forward;
     forward->attempt = open.attempt;
     forward->key = open.operation.key;
     forwards_[{forward->callerLife, forward->attemptNo}] = forward;
@@ -535,7 +536,7 @@
       in(networkDelay(), [this, forward, life] { deliver(forward, life); });
     }
     in(randomSpan(1ms, 400ms), [this, forward] {
-      deliverResult(forward, ForwardResult::broken);
+      deliverResult(forward, ForwardResult::connectionLost);
       closeConnection(forward);
     });
   }
@@ -554,7 +555,7 @@
 
   void deliver(const ForwardRef& forward, std::uint64_t life) {
     ServerSidecar& sidecar = serverSidecars_[forward->to];
-    if (sidecar.life.value != life) return deliverResult(forward, ForwardResult::broken);
+    if (sidecar.life.value != life) return deliverResult(forward, ForwardResult::connectionLost);
     runWhenActive(sidecar, life, [this, forward] {
       ServerSidecar& current = serverSidecars_[forward->to];
       forward->arrived = true;
@@ -568,7 +569,7 @@
         case Arrival::Kind::admit: {
           std::optional<std::string> key;
           if (!forward->key.empty()) key = forward->key;
-          return execute(forward->to, current.admission->asked(now_, no, forward->request, key));
+          return execute(forward->to, current.admission->handleRequest(now_, no, forward->request, key));
         }
         case Arrival::Kind::respond:
           if (!late && arrival.reply.verdict == Verdict::notReceived) ++notReceived;
@@ -584,15 +585,16 @@
 
   void watchForRestart(const ForwardRef& forward, std::uint64_t life) {
     if (forward->ended) return;
-    if (serverSidecars_[forward->to].life.value != life) return deliverResult(forward, ForwardResult::broken);
+    if (serverSidecars_[forward->to].life.value != life)
+      return deliverResult(forward, ForwardResult::connectionLost);
     if (now_ < end_ + 20s) in(5ms, [this, forward, life] { watchForRestart(forward, life); });
   }
 
   void sendReply(const ForwardRef& forward, const ForwardReply& reply, std::shared_ptr<const void> bytes) {
     if (withProbability(faults_.reset / 2))
-      return in(networkDelay(), [this, forward] { deliverResult(forward, ForwardResult::broken); });
+      return in(networkDelay(), [this, forward] { deliverResult(forward, ForwardResult::connectionLost); });
     in(networkDelay(),
-       [this, forward, reply, bytes] { deliverResult(forward, ForwardResult::told, reply, bytes); });
+       [this, forward, reply, bytes] { deliverResult(forward, ForwardResult::replied, reply, bytes); });
   }
 
   /// Delivers the result of a forward to the caller. Only the first one counts, as it closes the connection.
@@ -603,8 +605,8 @@
     Caller& caller = callers_[forward->caller];
     runWhenActive(caller, forward->callerLife, [this, forward, result, reply, bytes] {
       execute(forward->caller,
-              callers_[forward->caller].router->forwarded(now_, forward->call, forward->attemptNo, result,
-                                                          reply, bytes ? 200 : 0, bytes));
+              callers_[forward->caller].router->forwardEnded(now_, forward->call, forward->attemptNo, result,
+                                                             reply, bytes ? 200 : 0, bytes));
     });
   }
 
@@ -620,23 +622,23 @@
           break;
         case AdmissionAction::Kind::answer: {
           std::vector<InboundRequestId> all =
-              sidecar.outcomes->complete(now_, action.ask, action.told, action.bytes, action.size);
-          all.push_back(action.ask);
+              sidecar.outcomes->complete(now_, action.request, action.reply, action.bytes, action.size);
+          all.push_back(action.request);
           for (const InboundRequestId no : all)
-            sendReply(inbound_.at({i, life, no}), action.told, action.bytes);
+            sendReply(inbound_.at({i, life, no}), action.reply, action.bytes);
           break;
         }
         case AdmissionAction::Kind::claim:
           for (std::size_t voter = 0; voter < kVoters; ++voter) deliverClaim(i, life, voter, action);
           break;
-        case AdmissionAction::Kind::giveBack:
+        case AdmissionAction::Kind::releaseClaim:
           for (std::size_t voter = 0; voter < kVoters; ++voter) deliverRelease(i, life, voter, action);
           break;
         case AdmissionAction::Kind::cancel:
-          REQUIRE(inbound_.at({i, life, action.ask})->request.kind == RouteKind::pure);
+          REQUIRE(inbound_.at({i, life, action.request})->request.kind == RouteKind::pure);
           ++executionsCancelled;
           break;
-        case AdmissionAction::Kind::tell:
+        case AdmissionAction::Kind::announce:
           break;
       }
     }
@@ -676,26 +678,27 @@
   // --- servers
 
   void executeOnServer(std::size_t i, std::uint64_t life, const AdmissionAction& action) {
-    const ForwardRef forward = inbound_.at({i, life, action.ask});
-    const auto done = [this, i, life, id = action.ask](Span wait, AtServer result,
-                                                       const ServerAnswer& answer) {
+    const ForwardRef forward = inbound_.at({i, life, action.request});
+    const auto done = [this, i, life, id = action.request](Span wait, ExecutionResult result,
+                                                           const ServerAnswer& answer) {
       in(wait, [this, i, life, id, result, answer] {
         runWhenActive(serverSidecars_[i], life, [this, i, id, result, answer] {
-          execute(i, serverSidecars_[i].admission->ran(now_, id, result, answer));
+          execute(i, serverSidecars_[i].admission->executionEnded(now_, id, result, answer));
         });
       });
     };
     if (withProbability(faults_.serverRejects))
-      return done(networkDelay(), AtServer::answered, {503, true, nullptr, 0});
-    if (withProbability(0.01)) return done(networkDelay(), AtServer::notSent, {});
-    if (withProbability(faults_.serverResetsBefore)) return done(networkDelay(), AtServer::broken, {});
+      return done(networkDelay(), ExecutionResult::answered, {503, true, nullptr, 0});
+    if (withProbability(0.01)) return done(networkDelay(), ExecutionResult::notSent, {});
+    if (withProbability(faults_.serverResetsBefore))
+      return done(networkDelay(), ExecutionResult::connectionLost, {});
     // A request that was sent reaches the server even if the sidecar exits meanwhile.
     in(randomSpan(100us, 2ms), [this, i, forward] { recordExecution(i, *forward); });
     const Span takes = randomSpan(5ms, withProbability(0.1) ? 900ms : 90ms);
-    if (takes > action.left) return done(action.left, AtServer::timedOut, {});
-    if (withProbability(faults_.serverDisconnects)) return done(takes, AtServer::broken, {});
+    if (takes > action.left) return done(action.left, ExecutionResult::timedOut, {});
+    if (withProbability(faults_.serverDisconnects)) return done(takes, ExecutionResult::connectionLost, {});
     const auto body = std::make_shared<const Body>(Body{forward->attempt, forward->key, life});
-    done(takes, AtServer::answered, {200, false, body, 600});
+    done(takes, ExecutionResult::answered, {200, false, body, 600});
   }
 
   void recordExecution(std::size_t i, const Forward& forward) {
@@ -710,8 +713,8 @@
 
   void checkInvariants() {
     // No state remains for completed requests.
-    for (const Caller& caller : callers_) CHECK(caller.router->atWork() == 0);
-    for (const ServerSidecar& sidecar : serverSidecars_) CHECK(sidecar.admission->atWork() == 0);
+    for (const Caller& caller : callers_) CHECK(caller.router->inFlight() == 0);
+    for (const ServerSidecar& sidecar : serverSidecars_) CHECK(sidecar.admission->inFlight() == 0);
     for (const auto& [no, attempt] : attemptsById_) {
       if (attempt.kind != RouteKind::pure && attempt.guaranteedNotExecuted) CHECK(attempt.executions == 0);
     }
@@ -728,7 +731,7 @@
   std::vector<Caller> callers_;
   std::vector<ServerSidecar> serverSidecars_;
   std::map<std::tuple<std::size_t, std::uint64_t, InboundRequestId>, ForwardRef> inbound_;
-  std::map<std::pair<std::uint64_t, TryNo>, ForwardRef> forwards_;  // by the caller's process life
+  std::map<std::pair<std::uint64_t, AttemptNo>, ForwardRef> forwards_;  // by the caller's process life
   std::map<std::pair<std::size_t, std::size_t>, Span> sessions_;
   std::map<std::uint64_t, Attempt> attemptsById_;
   std::map<std::uint64_t, std::uint64_t>
--- a/tests/sidecar_control_client_test.cpp
+++ b/tests/sidecar_control_client_test.cpp
@@ -115,8 +115,8 @@
   return Sidecar(config);
 }
 
-Beat makeServerHeartbeat(const std::string& id) {
-  Beat heartbeat;
+ServerHeartbeat makeServerHeartbeat(const std::string& id) {
+  ServerHeartbeat heartbeat;
   heartbeat.id = {id};
   heartbeat.service = {"desk"};
   heartbeat.address = {"app"};
