--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -16,7 +16,7 @@
 #include "lab/fleet/process_fleet.hpp"
 #include "lab/fleet/virtual_fleet.hpp"
 #include "lab/mesh/agreement_explorer.hpp"
-#include "lab/mesh/explorer.hpp"
+#include "lab/mesh/claim_explorer.hpp"
 #include "lab/mesh/runs.hpp"
 #include "lab/mesh/voter_set_explorer.hpp"
 #include "lab/report.hpp"
@@ -313,7 +313,7 @@
   runs.shrinks = asked.shrinks;
   runs.jobs = asked.jobs;
   runs.processes = {asked.sidecar, asked.control, asked.seed, asked.logs, {}};
-  if (asked.tells) runs.processes.tell = [](const std::string& line) { std::cout << line << std::endl; };
+  if (asked.tells) runs.processes.onEvent = [](const std::string& line) { std::cout << line << std::endl; };
   const bool sockets = asked.clock == "sockets";
   if (!sockets && asked.soaks) throw BadInput("--soak goes with --clock sockets");
   if (sockets && asked.shrinks) throw BadInput("--shrink goes with virtual time: processes repeat no run");
@@ -325,25 +325,25 @@
 
 /// Every order of a key's words and losses.
 int exploreKeys(const Asked& asked) {
-  const mesh::Found found =
-      mesh::explore({mesh::Flaw::none, asked.voters, asked.depth, asked.wipes, 2, asked.won});
-  std::cout << found.states << " states, " << (found.trail ? "a key that runs twice:" : "no key runs twice")
+  const mesh::ClaimSearchResult found =
+      mesh::explore({mesh::ClaimFlaw::none, asked.voters, asked.depth, asked.wipes, 2, asked.won});
+  std::cout << found.states << " states, " << (found.trace ? "a key that runs twice:" : "no key runs twice")
             << '\n';
-  if (found.trail) {
-    for (const std::string& step : *found.trail) std::cout << "  " << step << '\n';
+  if (found.trace) {
+    for (const std::string& step : *found.trace) std::cout << "  " << step << '\n';
   }
-  return found.trail ? kMissed : kAsExpected;
+  return found.trace ? kMissed : kAsExpected;
 }
 
 int tellSearch(const mesh::SearchResult& found, std::chrono::duration<double> took, const char* broken) {
   std::printf("%llu states, all%s within %u steps%s, %.1f s: %s%s\n",
               static_cast<unsigned long long>(found.states), found.exhausted ? " there are," : "",
-              found.depth, found.full ? " (stopped at the most states allowed)" : "", took.count(),
-              found.trail ? "" : "never ", broken);
-  if (found.trail) {
-    for (const std::string& step : *found.trail) std::printf("  %s\n", step.c_str());
+              found.depth, found.stateLimitReached ? " (stopped at the most states allowed)" : "", took.count(),
+              found.trace ? "" : "never ", broken);
+  if (found.trace) {
+    for (const std::string& step : *found.trace) std::printf("  %s\n", step.c_str());
   }
-  return found.trail ? kMissed : kAsExpected;
+  return found.trace ? kMissed : kAsExpected;
 }
 
 /// Every order of claims on a key while disks are lost and the set of voters changes; or of the agreement on
@@ -457,7 +457,7 @@
                           "a standby may take the place of a voter that is up");
   exploringSets->add_flag("--won", search.won, "begin where the first claimer has won");
   exploringSets->add_option("--depth", search.depth, "steps")->check(CLI::Range(1U, 60U));
-  exploringSets->add_option("--most-states", search.mostStates);
+  exploringSets->add_option("--most-states", search.maxStates);
   CLI::App* exploringOrders =
       app.add_subcommand("explore-orders", "every order of the messages that agree on orders, to a depth");
   mesh::AgreementSearch& orders = asked.orders;
@@ -469,7 +469,7 @@
   exploringOrders->add_option("--timers", orders.timers, "that may fire")->check(CLI::Range(0U, 9U));
   exploringOrders->add_flag("--wipe", orders.wipe, "one voter may lose its disk, and is replaced");
   exploringOrders->add_option("--depth", orders.depth, "steps")->check(CLI::Range(1U, 60U));
-  exploringOrders->add_option("--most-states", orders.mostStates);
+  exploringOrders->add_option("--most-states", orders.maxStates);
   CLI::App* comparing = scenario(app.add_subcommand("compare", "plays one scenario with all policies"));
   experiment(comparing);
   CLI::App* sweeping = scenario(app.add_subcommand("sweep", "plays one scenario over values of a key"));
--- a/src/lab/mesh/agreement_explorer.cpp
+++ b/src/lab/mesh/agreement_explorer.cpp
@@ -15,24 +15,24 @@
 using rackroute::mesh::epochOf;
 
 constexpr std::size_t kProcesses = 5;
-constexpr std::size_t kQueue = 6;  // messages of one session on their way; what is beyond is lost
-constexpr MessageNo kNone = 0xffff;
+constexpr std::size_t kQueueCapacity = 6;  // messages in flight per session; further ones are lost
+constexpr MessageId kNoMessage = 0xffff;
 
-using Queue = std::array<MessageNo, kQueue>;  // the first is the next to arrive; kNone: no more
+using Queue = std::array<MessageId, kQueueCapacity>;  // in order of arrival, padded with kNoMessage
 
 struct ModelState {
-  std::array<NodeNo, kProcesses> nodes{};
-  std::array<std::array<Queue, kProcesses>, kProcesses> queues{};  // from, to
+  std::array<NodeId, kProcesses> nodes{};
+  std::array<std::array<Queue, kProcesses>, kProcesses> queues{};  // by sender and receiver
   std::uint8_t losses = 0;
   std::uint8_t restarts = 0;
   std::uint8_t timers = 0;
   std::uint8_t wiped = 0;
 };
 
-enum class Kind : std::uint8_t { hears, loses, writes, restarts, timer, wiped, adopts, reads };
+enum class Kind : std::uint8_t { receives, loses, writes, restarts, timer, wiped, adopts, reads };
 
 struct ModelStep {
-  Kind kind = Kind::hears;
+  Kind kind = Kind::receives;
   std::uint8_t process = 0;
   std::uint8_t other = 0;
   bool operator==(const ModelStep&) const = default;
@@ -46,28 +46,28 @@
 
   explicit Model(const AgreementSearch& search) : search_(search), histories_(search) {}
 
-  State first() {
+  State initialState() {
     State state;
     for (auto& from : state.queues) {
-      for (Queue& queue : from) queue.fill(kNone);
+      for (Queue& queue : from) queue.fill(kNoMessage);
     }
-    for (std::size_t p = 0; p < search_.voters; ++p) state.nodes[p] = histories_.first(p);
+    for (std::size_t p = 0; p < search_.voters; ++p) state.nodes[p] = histories_.firstNode(p);
     for (std::size_t p = 0; p < search_.proposers; ++p)
       apply(state, p, {InputKind::proposes, static_cast<std::uint32_t>(p), 0});
     return state;
   }
 
-  bool broken(const State& state) const {
+  bool violates(const State& state) const {
     unsigned chosen = 0;
-    if (!decidedOnce(state, chosen)) return true;
+    if (!checkDecisions(state, chosen)) return true;
     unsigned acknowledged = 0;
     for (std::size_t p = 0; p < search_.voters; ++p) {
       const Node& node = histories_.node(state.nodes[p]);
-      if (node.partial || (node.inForce & ~chosen) != 0 || (node.acknowledged & ~chosen) != 0) return true;
+      if (node.partial || (node.applied & ~chosen) != 0 || (node.acknowledged & ~chosen) != 0) return true;
       if ((node.refused & chosen) != 0) return true;
       acknowledged |= node.acknowledged;
     }
-    return search_.wantsDecision && acknowledged != 0;
+    return search_.targetAcknowledged && acknowledged != 0;
   }
 
   template <class Visit>
@@ -79,15 +79,15 @@
     };
     for (std::size_t to = 0; to < search_.voters; ++to) {
       for (std::size_t from = 0; from < search_.voters; ++from) {
-        if (state.queues[from][to].front() == kNone) continue;
-        step(Kind::hears, to, from, [&](State& next) {
-          const MessageNo message = takeFirst(next.queues[from][to]);
-          apply(next, to, {InputKind::hears, message, static_cast<std::uint8_t>(from)});
+        if (state.queues[from][to].front() == kNoMessage) continue;
+        step(Kind::receives, to, from, [&](State& next) {
+          const MessageId message = popFront(next.queues[from][to]);
+          apply(next, to, {InputKind::receives, message, static_cast<std::uint8_t>(from)});
         });
         if (state.losses < search_.losses) {
           step(Kind::loses, to, from, [&](State& next) {
             ++next.losses;
-            takeFirst(next.queues[from][to]);
+            popFront(next.queues[from][to]);
           });
         }
       }
@@ -95,30 +95,30 @@
     }
   }
 
-  static void canonical(State& /*state*/) {}
-  static Names firstNames() { return {}; }
+  static void canonicalize(State& /*state*/) {}
+  static Names initialNames() { return {}; }
   static Names renamed(const Names& names, const State& /*before*/) { return names; }
 
   std::string describe(const Names& /*names*/, const Step& step, const State& before) const {
     const std::string process = "process " + std::to_string(step.process);
     const std::string other = std::to_string(step.other);
-    const MessageNo next = before.queues[step.other][step.process].front();
-    const std::string message = next == kNone ? std::string() : histories_.describe(next);
+    const MessageId next = before.queues[step.other][step.process].front();
+    const std::string message = next == kNoMessage ? std::string() : histories_.describe(next);
     switch (step.kind) {
-      case Kind::hears:
-        return process + " hears of " + other + ": " + message;
+      case Kind::receives:
+        return process + " receives from " + other + ": " + message;
       case Kind::loses:
-        return "lost on its way from " + other + " to " + process + ": " + message;
+        return "message lost from " + other + " to " + process + ": " + message;
       case Kind::writes:
-        return process + " has written";
+        return process + " completes its disk writes";
       case Kind::restarts:
         return process + " loses power";
       case Kind::timer:
         return process + "'s timer fires";
       case Kind::wiped:
-        return process + " loses its disk, and another set is agreed on";
+        return process + " loses its disk, and a new voter set is agreed on";
       case Kind::adopts:
-        return process + " adopts that set";
+        return process + " adopts the new voter set";
       case Kind::reads:
         return process + " reads the state of " + other;
     }
@@ -126,39 +126,39 @@
   }
 
  private:
-  static MessageNo takeFirst(Queue& queue) {
-    const MessageNo first = queue.front();
+  static MessageId popFront(Queue& queue) {
+    const MessageId first = queue.front();
     std::rotate(queue.begin(), queue.begin() + 1, queue.end());
-    queue.back() = kNone;
+    queue.back() = kNoMessage;
     return first;
   }
 
   void apply(State& state, std::size_t p, const Input& input) const {
-    const Transition& transition = histories_.after(state.nodes[p], input);
+    const Transition& transition = histories_.transition(state.nodes[p], input);
     state.nodes[p] = transition.node;
     for (const Sent& sent : transition.sent) {
       Queue& queue = state.queues[p][sent.to];
-      const auto place = std::find(queue.begin(), queue.end(), kNone);
+      const auto place = std::find(queue.begin(), queue.end(), kNoMessage);
       if (place != queue.end()) *place = sent.message;
     }
   }
 
-  /// What was on its way to a process that stops is lost; what it sent before may still arrive.
-  static void loseArrivals(State& state, std::size_t p) {
-    for (auto& from : state.queues) from[p].fill(kNone);
+  /// Drops the messages in flight to a process that stops; those that it sent may still arrive.
+  static void dropInFlightTo(State& state, std::size_t p) {
+    for (auto& from : state.queues) from[p].fill(kNoMessage);
   }
 
-  template <class Take>
-  void processSteps(const State& state, std::size_t p, Take&& step) const {
+  template <class AddStep>
+  void processSteps(const State& state, std::size_t p, AddStep&& step) const {
     const Node& node = histories_.node(state.nodes[p]);
-    if (!node.unwritten.empty() || !node.sentAfterWrite.empty()) {
+    if (!node.unwritten.empty() || !node.sendAfterWrite.empty()) {
       step(Kind::writes, p, p, [&](State& next) { apply(next, p, {InputKind::written, 0, 0}); });
     }
-    // Who has nothing to lose but sessions loses these by other steps.
+    // A process without inputs since its start has no state to lose.
     if (state.restarts < search_.restarts && !node.inputs.empty()) {
       step(Kind::restarts, p, p, [&](State& next) {
         ++next.restarts;
-        loseArrivals(next, p);
+        dropInFlightTo(next, p);
         apply(next, p, {InputKind::restarts, 0, 0});
       });
     }
@@ -171,7 +171,7 @@
     if (search_.wipe && state.wiped == 0 && p + 1 == search_.voters) {
       step(Kind::wiped, p, p, [&](State& next) {
         next.wiped = 1;
-        loseArrivals(next, p);
+        dropInFlightTo(next, p);
         apply(next, p, {InputKind::wiped, 0, 0});
       });
     }
@@ -189,8 +189,9 @@
     }
   }
 
-  /// Whether no register has had a majority for two values; chosen: the orders that had one.
-  bool decidedOnce(const State& state, unsigned& chosen) const {
+  /// Returns whether no register has two values accepted by a majority; `chosen` is the orders accepted by
+  /// one.
+  bool checkDecisions(const State& state, unsigned& chosen) const {
     std::map<Ballot, std::pair<std::size_t, unsigned>> counts;
     for (std::size_t p = 0; p < search_.voters; ++p) {
       for (const AcceptedOnDisk& one : histories_.node(state.nodes[p]).accepted) {
@@ -202,20 +203,20 @@
         if (voters >= histories_.set(epoch).quorum()) chosen |= orders;
       }
     }
-    // Every two neighbours share a register; of up to three orders all are neighbours.
+    // With up to three orders, any two share a register.
     return std::popcount(chosen) <= 1;
   }
 
   AgreementSearch search_;
-  mutable AgreementHistories histories_;  // it only remembers what it has played
+  mutable AgreementHistories histories_;  // a cache
 };
 
 }  // namespace
 
 SearchResult explore(const AgreementSearch& search) {
   Model model(search);
-  const ModelState first = model.first();
-  return StateSearch<Model>(model, search.depth, search.mostStates).run(first);
+  const ModelState first = model.initialState();
+  return StateSearch<Model>(model, search.depth, search.maxStates).run(first);
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/agreement_explorer.hpp
+++ b/src/lab/mesh/agreement_explorer.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
-// Every order of what may happen while a few voters agree on conflicting orders: messages that arrive late or
-// never, timers, writes to disk, lost power, a lost disk and the change of the set that follows. The
-// proposers and voters are the mesh's own Agreement; the disks and the sessions are modelled here, and the
-// agreement on the set itself is one step.
+// Bounded model checker of the agreement protocol: a few voters agree on conflicting orders under delayed and
+// lost messages, timers, disk writes, power losses, and a disk loss followed by a change of the voter set.
+// Proposers and voters run the production Agreement class. Disks and sessions are modelled, and the agreement
+// on a new voter set is a single step.
 //
-// What a process does depends only on what it has met since it started, so that each such history is played
-// once, whatever else happens elsewhere; a state is one history for each process and the messages on their
-// way. Messages of one session arrive in order. A process hears its own messages at once.
+// A process depends only on the inputs since its start, so each input history is executed once and shared by
+// all states that contain it. A state consists of one history per process and the messages in flight.
+// Messages of a session arrive in order; a process receives its own messages immediately.
 
 #include <cstdint>
 
@@ -15,32 +15,32 @@
 
 namespace rackroute::lab::mesh {
 
-/// A copy that is broken on purpose, to see that the explorer finds it.
+/// A deliberate defect of the protocol that the checker must detect.
 enum class AgreementFlaw {
   none,
-  acceptsWhatever,     // a voter answers that it accepted, whatever it holds
-  pushedBeforeAgreed,  // an order comes into force at its proposer when it is sent to be accepted
-  toldBeforeWrite,     // replies don't wait for the disk
-  promisesNotWritten,  // promised ballots are held in memory only
-  inForceInParts,      // of an order that is told to be decided, one item is taken
-  votesBeforeReading,  // a voter that joined votes before it has read
+  acceptsUnconditionally,  // a voter replies to every Accept that it accepted the order
+  appliesBeforeDecision,   // a proposer applies an order when it sends the Accept messages
+  repliesBeforeWrite,      // replies are sent before the disk write completes
+  promisesNotPersisted,    // promised ballots are kept in memory only
+  appliesPartially,        // only the first item of a decided order is applied
+  votesBeforeReading,      // a new voter votes before it has read the state of the others
 };
 
 struct AgreementSearch {
   AgreementFlaw flaw = AgreementFlaw::none;
-  unsigned voters = 3;     // 5 at most
-  unsigned proposers = 2;  // 3 at most; each with an order that shares a register with the next one's
-  unsigned losses = 0;     // messages that may be lost
-  unsigned restarts = 0;   // losses of power; more than 0: what is written and what is told are two steps
-  unsigned timers = 0;     // that may fire
-  bool wipe = false;       // the last voter may lose its disk, and is replaced
-  unsigned depth = 12;     // steps
-  std::uint64_t mostStates = 20'000'000;
-  bool wantsDecision = false;  // the trail wanted is one to an order that is acknowledged
+  unsigned voters = 3;     // at most 5
+  unsigned proposers = 2;  // at most 3; the order of each shares a register with the order of the next
+  unsigned losses = 0;     // maximum number of lost messages
+  unsigned restarts = 0;   // maximum number of power losses; if not 0, disk writes are separate steps
+  unsigned timers = 0;     // maximum number of timers that fire
+  bool wipe = false;       // the last voter may lose its disk and be replaced
+  unsigned depth = 12;     // maximum number of steps
+  std::uint64_t maxStates = 20'000'000;
+  bool targetAcknowledged = false;  // search for a state in which an order is acknowledged
 };
 
-/// The rules that states may break: no register is decided twice; what is in force anywhere, or was
-/// acknowledged, has been accepted by a majority, on disk, and is in force whole; what was refused has not.
+/// Searches for a state that violates an invariant: no register is decided twice; an order that is applied or
+/// acknowledged was accepted on disk by a majority and is applied completely; a refused order was not.
 SearchResult explore(const AgreementSearch& search);
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/agreement_histories.cpp
+++ b/src/lab/mesh/agreement_histories.cpp
@@ -13,12 +13,12 @@
 using namespace rackroute::mesh;
 using Flaw = AgreementFlaw;
 
-constexpr std::string_view kItemPrefix = "i/";  // of the modelled disk: items in force
+constexpr std::string_view kItemPrefix = "i/";  // key prefix of applied items on the modelled disk
 
 Address addressOf(std::size_t process) { return {"p" + std::to_string(process)}; }
 
-/// The order's value for a register that it shares with the next order, and one for that with the order
-/// before.
+/// An order with two items: one for the register shared with the next order, one for the register shared with
+/// the previous order.
 OrderPtr orderOf(std::size_t number, std::size_t orders) {
   std::vector<Item> items;
   for (const std::size_t name : {number, (number + 1) % std::max<std::size_t>(orders, 3)}) {
@@ -47,7 +47,7 @@
   return text;
 }
 
-/// Equal for equal messages of the agreement.
+/// Two agreement messages are equal if their texts are equal.
 std::string textOf(const Message& message) {
   std::ostringstream out;
   std::visit(
@@ -75,7 +75,7 @@
   return out.str();
 }
 
-bool tellsAccepted(const Effects& effects) {
+bool reportsAccepted(const Effects& effects) {
   const auto accepts = [](const Envelope& envelope) {
     const auto* reply = std::get_if<AcceptReply>(&envelope.message);
     return reply != nullptr && reply->granted;
@@ -91,15 +91,15 @@
 
 }  // namespace
 
-/// A process as it runs, at one node.
-struct AgreementHistories::Running {
+/// A process that has been replayed to a node.
+struct AgreementHistories::LiveProcess {
   Node node;
   Items items;
   std::unique_ptr<Agreement> agreement;
   Span now{};
-  std::vector<Sent> sent;              // by the input that is played
-  std::vector<MessageNo> ownMessages;  // to be heard at once
-  bool replays = false;                // the disk and what was sent are known already
+  std::vector<Sent> sent;              // messages sent by the current input
+  std::vector<MessageId> ownMessages;  // to itself, delivered immediately
+  bool replaying = false;              // inputs are replayed; the disk and the sent messages are known
 };
 
 AgreementHistories::AgreementHistories(const AgreementSearch& search) : search_(search) {
@@ -112,98 +112,98 @@
   for (std::size_t i = 0; i < search_.proposers; ++i) orders_.push_back(orderOf(i, search_.proposers));
 }
 
-NodeNo AgreementHistories::first(std::size_t process) {
-  Running running;
-  running.node.process = static_cast<std::uint8_t>(process);
-  running.node.self = set(1).voters.at(process);
-  start(running);
-  return numberOf(running, 0, {});
+NodeId AgreementHistories::firstNode(std::size_t process) {
+  LiveProcess live;
+  live.node.process = static_cast<std::uint8_t>(process);
+  live.node.self = set(1).voters.at(process);
+  start(live);
+  return internNode(live, 0, {});
 }
 
-/// Starts on what is on the disk.
-void AgreementHistories::start(Running& running) {
-  Node& node = running.node;
+/// Starts the process from its disk.
+void AgreementHistories::start(LiveProcess& live) {
+  Node& node = live.node;
   node.inputs.clear();
   node.unwritten.clear();
-  node.neverWritten.clear();
-  node.sentAfterWrite.clear();
+  node.notPersisted.clear();
+  node.sendAfterWrite.clear();
   node.hasProposed = false;
-  node.startedOn = std::make_shared<const Node::Start>(Node::Start{node.disk, node.epoch, node.holdsState});
-  running.now = {};
-  running.items = {};
-  running.agreement = std::make_unique<Agreement>(Agreement::Config{
-      node.self, node.self.incarnation.value, &running.items, [](const VoterSet&, bool) { return true; }});
+  node.startState = std::make_shared<const Node::Start>(Node::Start{node.disk, node.epoch, node.holdsState});
+  live.now = {};
+  live.items = {};
+  live.agreement = std::make_unique<Agreement>(Agreement::Config{
+      node.self, node.self.incarnation.value, &live.items, [](const VoterSet&, bool) { return true; }});
   for (const auto& [key, value] : node.disk) {
     if (key.starts_with(kItemPrefix)) {
-      running.items.merge(itemFrom(nlohmann::json::parse(value)));
+      live.items.merge(itemFrom(nlohmann::json::parse(value)));
     } else {
-      running.agreement->restore(key, value);
+      live.agreement->restore(key, value);
     }
   }
   Effects effects;
-  running.agreement->setVoters(set(node.epoch), running.now, effects);
-  running.agreement->setMayVote(node.holdsState || search_.flaw == Flaw::votesBeforeReading);
-  take(running, effects, {});
+  live.agreement->setVoters(set(node.epoch), live.now, effects);
+  live.agreement->setMayVote(node.holdsState || search_.flaw == Flaw::votesBeforeReading);
+  handleEffects(live, effects, {});
 }
 
-std::unique_ptr<AgreementHistories::Running> AgreementHistories::running(const Node& node) {
-  auto running = std::make_unique<Running>();
-  running->replays = true;
-  running->node = node;
-  running->node.disk = node.startedOn->disk;
-  running->node.epoch = node.startedOn->epoch;
-  running->node.holdsState = node.startedOn->holdsState;
-  running->node.readFrom.clear();
-  start(*running);
-  for (const Input& input : node.inputs) play(*running, input);
-  running->node = node;  // its disk and all that it sent are known
-  running->sent.clear();
-  running->replays = false;
-  return running;
+std::unique_ptr<AgreementHistories::LiveProcess> AgreementHistories::replay(const Node& node) {
+  auto live = std::make_unique<LiveProcess>();
+  live->replaying = true;
+  live->node = node;
+  live->node.disk = node.startState->disk;
+  live->node.epoch = node.startState->epoch;
+  live->node.holdsState = node.startState->holdsState;
+  live->node.readFrom.clear();
+  start(*live);
+  for (const Input& input : node.inputs) applyInput(*live, input);
+  live->node = node;
+  live->sent.clear();
+  live->replaying = false;
+  return live;
 }
 
-const Transition& AgreementHistories::after(NodeNo number, const Input& input) {
+const Transition& AgreementHistories::transition(NodeId number, const Input& input) {
   const auto key = std::tuple(number, input.kind, input.number, input.from);
   if (const auto known = transitions_.find(key); known != transitions_.end()) return known->second;
-  const auto process = running(nodes_[number]);
-  play(*process, input);
+  const auto process = replay(nodes_[number]);
+  applyInput(*process, input);
   Transition transition;
-  transition.node = numberOf(*process, number, input);
+  transition.node = internNode(*process, number, input);
   transition.sent = std::move(process->sent);
   return transitions_.emplace(key, std::move(transition)).first->second;
 }
 
-void AgreementHistories::play(Running& running, const Input& input) {
-  Node& node = running.node;
+void AgreementHistories::applyInput(LiveProcess& live, const Input& input) {
+  Node& node = live.node;
   Effects effects;
   const bool starts = input.kind == InputKind::restarts || input.kind == InputKind::wiped;
   if (!starts) node.inputs.push_back(input);
   switch (input.kind) {
     case InputKind::proposes:
       node.hasProposed = true;
-      running.agreement->propose(running.now, input.number + 1, orders_[input.number], effects);
+      live.agreement->propose(live.now, input.number + 1, orders_[input.number], effects);
       break;
-    case InputKind::hears:
-      hear(running, input.from, Message(messages_[input.number]));
+    case InputKind::receives:
+      deliver(live, input.from, Message(messages_[input.number]));
       break;
     case InputKind::timer:
-      running.now = std::max(running.now, running.agreement->nextTick().value_or(running.now));
-      running.agreement->tick(running.now, effects);
+      live.now = std::max(live.now, live.agreement->nextTick().value_or(live.now));
+      live.agreement->tick(live.now, effects);
       break;
     case InputKind::written:
-      write(running);
+      completeWrites(live);
       break;
     case InputKind::adopts:
       node.epoch = input.number;
       if (set(node.epoch).mustRead(node.self)) node.holdsState = false;
-      running.agreement->setVoters(set(node.epoch), running.now, effects);
-      running.agreement->setMayVote(node.holdsState || search_.flaw == Flaw::votesBeforeReading);
+      live.agreement->setVoters(set(node.epoch), live.now, effects);
+      live.agreement->setMayVote(node.holdsState || search_.flaw == Flaw::votesBeforeReading);
       break;
     case InputKind::reads: {
       const Node other = nodes_[input.number];
-      const auto read = this->running(other);
-      running.agreement->importState(running.now, read->agreement->accepted(),
-                                     read->agreement->decidedRegisters(), effects);
+      const auto read = this->replay(other);
+      live.agreement->importState(live.now, read->agreement->accepted(), read->agreement->decidedRegisters(),
+                                  effects);
       node.readFrom.insert(other.process);
       break;
     }
@@ -214,69 +214,69 @@
       [[fallthrough]];
     case InputKind::restarts:
       node.readFrom.clear();
-      start(running);
+      start(live);
       break;
   }
-  take(running, effects, {});
-  hearOwn(running);
+  handleEffects(live, effects, {});
+  deliverOwn(live);
   if (input.kind == InputKind::reads && node.readFrom.size() >= set(node.epoch).readQuorum()) {
-    write(running);  // its copy is on disk before it votes
-    hearOwn(running);
+    completeWrites(live);  // the copied state must be on disk before the process votes
+    deliverOwn(live);
     node.holdsState = true;
     node.readFrom.clear();
-    running.agreement->setMayVote(true);
+    live.agreement->setMayVote(true);
   }
-  node.nextTimer = running.agreement->nextTick();
-  noteForce(running);
+  node.nextTimer = live.agreement->nextTick();
+  updateApplied(live);
 }
 
-void AgreementHistories::hear(Running& running, std::uint8_t from, const Message& message) {
+void AgreementHistories::deliver(LiveProcess& live, std::uint8_t from, const Message& message) {
   Effects effects;
   std::vector<Item> merged;
-  Agreement& agreement = *running.agreement;
+  Agreement& agreement = *live.agreement;
   if (const auto* it = std::get_if<Prepare>(&message))
-    agreement.handle(running.now, addressOf(from), *it, effects);
+    agreement.handle(live.now, addressOf(from), *it, effects);
   if (const auto* it = std::get_if<Accept>(&message)) {
-    agreement.handle(running.now, addressOf(from), *it, effects);
-    if (search_.flaw == Flaw::acceptsWhatever && !tellsAccepted(effects)) {
+    agreement.handle(live.now, addressOf(from), *it, effects);
+    if (search_.flaw == Flaw::acceptsUnconditionally && !reportsAccepted(effects)) {
       AcceptReply reply;
       reply.ballot = it->ballot;
       reply.epoch = it->epoch;
-      reply.voter = running.node.self;
+      reply.voter = live.node.self;
       reply.granted = true;
       effects.messages = {{addressOf(from), reply}};
     }
   }
-  if (const auto* it = std::get_if<PrepareReply>(&message)) agreement.handle(running.now, *it, effects);
-  if (const auto* it = std::get_if<AcceptReply>(&message)) agreement.handle(running.now, *it, effects);
+  if (const auto* it = std::get_if<PrepareReply>(&message)) agreement.handle(live.now, *it, effects);
+  if (const auto* it = std::get_if<AcceptReply>(&message)) agreement.handle(live.now, *it, effects);
   if (const auto* it = std::get_if<Decided>(&message)) {
     for (const Item& item : it->order->items) {
-      if (running.items.merge(item)) merged.push_back(item);
-      if (search_.flaw == Flaw::inForceInParts) break;
+      if (live.items.merge(item)) merged.push_back(item);
+      if (search_.flaw == Flaw::appliesPartially) break;
     }
-    agreement.recordDecided(running.now, it->order->items, effects);
+    agreement.recordDecided(live.now, it->order->items, effects);
   }
-  take(running, effects, std::move(merged));
+  handleEffects(live, effects, std::move(merged));
 }
 
-void AgreementHistories::hearOwn(Running& running) {
-  while (!running.ownMessages.empty()) {
-    const MessageNo message = running.ownMessages.front();
-    running.ownMessages.erase(running.ownMessages.begin());
-    hear(running, running.node.process, Message(messages_[message]));
+void AgreementHistories::deliverOwn(LiveProcess& live) {
+  while (!live.ownMessages.empty()) {
+    const MessageId message = live.ownMessages.front();
+    live.ownMessages.erase(live.ownMessages.begin());
+    deliver(live, live.node.process, Message(messages_[message]));
   }
 }
 
-/// Whoever runs an Agreement does this with its effects.
-void AgreementHistories::take(Running& running, const Effects& effects, std::vector<Item> merged) {
-  Node& node = running.node;
+/// Handles the effects of the Agreement as a control node does.
+void AgreementHistories::handleEffects(LiveProcess& live, const Effects& effects, std::vector<Item> merged) {
+  Node& node = live.node;
   for (const Item& item : effects.decided) {
-    if (running.items.merge(item)) merged.push_back(item);
+    if (live.items.merge(item)) merged.push_back(item);
   }
-  if (search_.flaw == Flaw::pushedBeforeAgreed) {
+  if (search_.flaw == Flaw::appliesBeforeDecision) {
     for (const Envelope& envelope : effects.messages) {
       if (const auto* accept = std::get_if<Accept>(&envelope.message)) {
-        for (const Item& item : accept->order->items) running.items.merge(item);
+        for (const Item& item : accept->order->items) live.items.merge(item);
       }
     }
   }
@@ -288,53 +288,54 @@
   }
   for (const StoreEntry& entry : effects.entries) {
     const bool promise = entry.first.starts_with(agreement_store::kPromisePrefix);
-    const bool inMemoryOnly = promise && search_.flaw == Flaw::promisesNotWritten;
-    (inMemoryOnly ? node.neverWritten : node.unwritten).push_back(entry);
+    const bool inMemoryOnly = promise && search_.flaw == Flaw::promisesNotPersisted;
+    (inMemoryOnly ? node.notPersisted : node.unwritten).push_back(entry);
   }
   for (const Item& item : merged)
     node.unwritten.emplace_back(std::string(kItemPrefix) + textOf(item.key), wireOf(item));
-  for (const Envelope& envelope : effects.messages) send(running, envelope, running.sent);
-  std::vector<Sent>& later = search_.flaw == Flaw::toldBeforeWrite ? running.sent : node.sentAfterWrite;
-  for (const Envelope& envelope : effects.afterWrite) send(running, envelope, later);
-  if (!writesApart()) write(running);
+  for (const Envelope& envelope : effects.messages) send(live, envelope, live.sent);
+  std::vector<Sent>& later = search_.flaw == Flaw::repliesBeforeWrite ? live.sent : node.sendAfterWrite;
+  for (const Envelope& envelope : effects.afterWrite) send(live, envelope, later);
+  if (!writesAreSteps()) completeWrites(live);
 }
 
-void AgreementHistories::send(Running& running, const Envelope& envelope, std::vector<Sent>& sent) {
-  const VoterSet& voters = set(running.node.epoch);
-  const MessageNo number = numberOf(envelope.message);
+void AgreementHistories::send(LiveProcess& live, const Envelope& envelope, std::vector<Sent>& sent) {
+  const VoterSet& voters = set(live.node.epoch);
+  const MessageId number = internMessage(envelope.message);
   for (std::size_t p = 0; p < search_.voters; ++p) {
     if (envelope.to && *envelope.to != addressOf(p)) continue;
     const bool toAll = std::holds_alternative<Decided>(envelope.message);
     if (!envelope.to && !toAll && voters.find(addressOf(p)) == nullptr) continue;
-    if (p == running.node.process && &sent == &running.sent) {
-      running.ownMessages.push_back(number);
+    if (p == live.node.process && &sent == &live.sent) {
+      live.ownMessages.push_back(number);
     } else {
       sent.push_back({static_cast<std::uint8_t>(p), number});
     }
   }
 }
 
-void AgreementHistories::write(Running& running) {
-  Node& node = running.node;
+void AgreementHistories::completeWrites(LiveProcess& live) {
+  Node& node = live.node;
   for (const auto& [key, value] : std::exchange(node.unwritten, {})) {
     if (!value) {
       node.disk.erase(key);
       continue;
     }
     node.disk[key] = *value;
-    if (key.starts_with(agreement_store::kOrderPrefix)) noteAccepted(node, *value);
+    if (key.starts_with(agreement_store::kOrderPrefix)) recordAccepted(node, *value);
   }
-  for (const Sent& sent : std::exchange(node.sentAfterWrite, {})) {
+  for (const Sent& sent : std::exchange(node.sendAfterWrite, {})) {
     if (sent.to == node.process) {
-      running.ownMessages.push_back(sent.message);
+      live.ownMessages.push_back(sent.message);
     } else {
-      running.sent.push_back(sent);
+      live.sent.push_back(sent);
     }
   }
 }
 
-/// Copies of what others accepted, which a reader makes, are no acceptances: it reads before it votes.
-void AgreementHistories::noteAccepted(Node& node, const std::string& text) const {
+/// Records an acceptance that reached the disk. Orders that a process copies while it reads the state of
+/// others are not acceptances of its own.
+void AgreementHistories::recordAccepted(Node& node, const std::string& text) const {
   if (!node.holdsState && search_.flaw != Flaw::votesBeforeReading) return;
   const AcceptedOrder accepted = agreement_store::parseOrder(text);
   node.accepted.insert({accepted.ballot, node.self, ordersOf(*accepted.order)});
@@ -346,50 +347,52 @@
   return orders;
 }
 
-void AgreementHistories::noteForce(Running& running) const {
-  Node& node = running.node;
-  node.inForce = 0;
+void AgreementHistories::updateApplied(LiveProcess& live) const {
+  Node& node = live.node;
+  node.applied = 0;
   node.partial = false;
   for (std::size_t i = 0; i < orders_.size(); ++i) {
     std::size_t items = 0;
     for (const Item& item : orders_[i]->items) {
-      const Item* held = running.items.find(item.key);
-      items += held != nullptr && held->print == item.print;
+      const Item* current = live.items.find(item.key);
+      items += current != nullptr && current->print == item.print;
     }
-    if (items > 0) node.inForce |= 1U << i;
+    if (items > 0) node.applied |= 1U << i;
     if (items > 0 && items < orders_[i]->items.size()) node.partial = true;
   }
 }
 
-NodeNo AgreementHistories::numberOf(const Running& running, NodeNo parent, const Input& input) {
-  Node node = running.node;
-  node.nextTimer = running.agreement->nextTick();
-  std::ostringstream print;
-  print << int(node.process) << '|' << node.epoch << node.holdsState << '|' << running.now.count() << '|'
-        << node.acknowledged << ',' << node.refused << ',' << node.inForce << node.partial << '|';
-  for (const std::size_t p : node.readFrom) print << p << ' ';
-  for (const auto& [key, value] : node.disk) print << key << '=' << value << ';';
-  print << '|';
-  for (const auto& [key, value] : node.unwritten) print << key << '=' << value.value_or("-") << ';';
-  print << '|';
-  for (const auto& [key, value] : node.neverWritten) print << key << '=' << value.value_or("-") << ';';
-  for (const Sent& sent : node.sentAfterWrite) print << int(sent.to) << ':' << sent.message << ' ';
-  print << '|';
+NodeId AgreementHistories::internNode(const LiveProcess& live, NodeId parent, const Input& input) {
+  Node node = live.node;
+  node.nextTimer = live.agreement->nextTick();
+  std::ostringstream fingerprint;
+  fingerprint << int(node.process) << '|' << node.epoch << node.holdsState << '|' << live.now.count() << '|'
+              << node.acknowledged << ',' << node.refused << ',' << node.applied << node.partial << '|';
+  for (const std::size_t p : node.readFrom) fingerprint << p << ' ';
+  for (const auto& [key, value] : node.disk) fingerprint << key << '=' << value << ';';
+  fingerprint << '|';
+  for (const auto& [key, value] : node.unwritten) fingerprint << key << '=' << value.value_or("-") << ';';
+  fingerprint << '|';
+  for (const auto& [key, value] : node.notPersisted) fingerprint << key << '=' << value.value_or("-") << ';';
+  for (const Sent& sent : node.sendAfterWrite) fingerprint << int(sent.to) << ':' << sent.message << ' ';
+  fingerprint << '|';
   for (const AcceptedOnDisk& one : node.accepted)
-    print << textOf(one.ballot) << one.voter.incarnation.value << '.' << one.orders << ' ';
-  // A process that proposes has more in memory than is told of it: there equal histories alone are equal.
-  const bool proposes = node.hasProposed || running.agreement->proposalsInFlight() > 0;
+    fingerprint << textOf(one.ballot) << one.voter.incarnation.value << '.' << one.orders << ' ';
+  // A proposer has state in memory that the fingerprint doesn't cover, so its nodes are merged only if their
+  // histories are equal.
+  const bool proposes = node.hasProposed || live.agreement->proposalsInFlight() > 0;
   node.hasProposed = proposes;
-  if (proposes) print << "|after " << parent << ' ' << textOf(input);
-  if (node.nextTimer) print << "|timer " << node.nextTimer->count();
-  const auto [known, added] = byPrint_.try_emplace(print.str(), static_cast<NodeNo>(nodes_.size()));
+  if (proposes) fingerprint << "|after " << parent << ' ' << textOf(input);
+  if (node.nextTimer) fingerprint << "|timer " << node.nextTimer->count();
+  const auto [known, added] =
+      byFingerprint_.try_emplace(fingerprint.str(), static_cast<NodeId>(nodes_.size()));
   if (added) nodes_.push_back(std::move(node));
   return known->second;
 }
 
-MessageNo AgreementHistories::numberOf(const Message& message) {
+MessageId AgreementHistories::internMessage(const Message& message) {
   std::string text = textOf(message);
-  const auto [known, added] = byText_.try_emplace(text, static_cast<MessageNo>(messages_.size()));
+  const auto [known, added] = byText_.try_emplace(text, static_cast<MessageId>(messages_.size()));
   if (added) {
     messages_.push_back(message);
     texts_.push_back(std::move(text));
--- a/src/lab/mesh/forward_relay.cpp
+++ b/src/lab/mesh/forward_relay.cpp
@@ -11,28 +11,28 @@
 using namespace std::chrono_literals;
 using sidecar::Reason;
 
-constexpr Span kLatest = 1500ms;    // by which a request comes late; within its client's time, and beyond
-constexpr Span kBothAfter = 200ms;  // at the longest, from a request until both ends are reset
+constexpr Span kMaxRequestDelay = 1500ms;  // for ResetKind::lateRequest; may exceed the client's deadline
+constexpr Span kMaxResetDelay = 200ms;     // for ResetKind::bothEnds, from the request
 
 /// One end of a relayed connection.
 class RelayEnd : public sidecar::Connection {
  public:
   RelayEnd(sidecar::Loop& loop, Poco::Net::StreamSocket socket, std::string peer)
       : Connection(loop, "relay", std::move(socket), std::move(peer)) {}
-  std::function<void(std::string)> read;
-  std::function<void()> over;
+  std::function<void(std::string)> onRead;
+  std::function<void()> onEnded;
   void write(std::string bytes) {
     if (ended()) return;
     http::Gather pieces;
     pieces.text(std::move(bytes));
     send(std::move(pieces));
   }
-  void cut() { endCut(Reason::cut); }
+  void abort() { endCut(Reason::cut); }
 
  protected:
-  void received() override { read(std::exchange(in_, {})); }
+  void received() override { onRead(std::exchange(in_, {})); }
   void gone(Reason) override {
-    if (over) over();
+    if (onEnded) onEnded();
   }
 };
 
@@ -44,46 +44,46 @@
   ForwardRelayPair(ForwardRelay& relay, Poco::Net::StreamSocket socket, std::string peer)
       : relay_(relay),
         caller_(std::make_shared<RelayEnd>(relay.loop_, std::move(socket), std::move(peer))),
-        sidecar_(std::make_shared<RelayEnd>(relay.loop_, Poco::Net::StreamSocket(), relay.to_.value)) {}
+        sidecar_(std::make_shared<RelayEnd>(relay.loop_, Poco::Net::StreamSocket(), relay.target_.value)) {}
 
   void start() {
-    caller_->read = [this](std::string bytes) { fromCaller(std::move(bytes)); };
-    sidecar_->read = [this](std::string bytes) { fromSidecar(std::move(bytes)); };
-    caller_->over = [this] { callerOver(); };
-    sidecar_->over = [this] { sidecarOver(); };
-    sidecar_->dial(Poco::Net::SocketAddress(relay_.to_.value));
+    caller_->onRead = [this](std::string bytes) { fromCaller(std::move(bytes)); };
+    sidecar_->onRead = [this](std::string bytes) { fromSidecar(std::move(bytes)); };
+    caller_->onEnded = [this] { onCallerEnded(); };
+    sidecar_->onEnded = [this] { onSidecarEnded(); };
+    sidecar_->dial(Poco::Net::SocketAddress(relay_.target_.value));
     caller_->open();
   }
 
  private:
-  enum class Fault { before, after, late, answer, both };
+  enum class ResetKind { beforeRequest, afterRequest, lateRequest, midResponse, bothEnds };
 
   void fromCaller(std::string bytes) {
-    if (fraction(relay_.chance_) >= relay_.part_) return sidecar_->write(std::move(bytes));
+    if (fraction(relay_.chance_) >= relay_.resetRatio_) return sidecar_->write(std::move(bytes));
     ++relay_.resets_;
-    switch (static_cast<Fault>(static_cast<int>(fraction(relay_.chance_) * 5))) {
-      case Fault::before:
-        caller_->cut();
+    switch (static_cast<ResetKind>(static_cast<int>(fraction(relay_.chance_) * 5))) {
+      case ResetKind::beforeRequest:
+        caller_->abort();
         return;
-      case Fault::after:
-        staysOpen_ = true;
+      case ResetKind::afterRequest:
+        keepsSidecarOpen_ = true;
         sidecar_->write(std::move(bytes));
-        caller_->cut();
+        caller_->abort();
         return;
-      case Fault::late:
-        staysOpen_ = true;
-        caller_->cut();
-        in(kLatest, [this, late = std::move(bytes)] { sidecar_->write(late); });
+      case ResetKind::lateRequest:
+        keepsSidecarOpen_ = true;
+        caller_->abort();
+        scheduleWithin(kMaxRequestDelay, [this, late = std::move(bytes)] { sidecar_->write(late); });
         return;
-      case Fault::answer:
-        cutsAnswer_ = true;
+      case ResetKind::midResponse:
+        truncatesResponse_ = true;
         sidecar_->write(std::move(bytes));
         return;
-      case Fault::both:
+      case ResetKind::bothEnds:
         sidecar_->write(std::move(bytes));
-        in(kBothAfter, [this] {
-          caller_->cut();
-          sidecar_->cut();
+        scheduleWithin(kMaxResetDelay, [this] {
+          caller_->abort();
+          sidecar_->abort();
         });
         return;
     }
@@ -91,30 +91,30 @@
 
   void fromSidecar(std::string bytes) {
     if (caller_->ended()) return;
-    if (!cutsAnswer_) return caller_->write(std::move(bytes));
-    staysOpen_ = true;
+    if (!truncatesResponse_) return caller_->write(std::move(bytes));
+    keepsSidecarOpen_ = true;
     bytes.resize(bytes.size() / 2);
     caller_->write(std::move(bytes));
-    caller_->cut();
+    caller_->abort();
   }
 
-  void callerOver() {
-    if (!staysOpen_) sidecar_->end(Reason::peerClosed);
-    forget();
+  void onCallerEnded() {
+    if (!keepsSidecarOpen_) sidecar_->end(Reason::peerClosed);
+    removeIfEnded();
   }
 
-  void sidecarOver() {
+  void onSidecarEnded() {
     caller_->finish(Reason::peerClosed);
-    forget();
+    removeIfEnded();
   }
 
-  void in(Span most, std::function<void()> task) {
-    const Span wait = std::chrono::duration_cast<Span>(most * fraction(relay_.chance_));
+  void scheduleWithin(Span maxDelay, std::function<void()> task) {
+    const Span wait = std::chrono::duration_cast<Span>(maxDelay * fraction(relay_.chance_));
     relay_.loop_.in(wait, [self = shared_from_this(), task = std::move(task)] { task(); });
   }
 
-  // Once both have ended; after the turn, as this is called from within theirs.
-  void forget() {
+  // Removes the pair when both ends have closed. Deletion is deferred, as a callback of an end is running.
+  void removeIfEnded() {
     if (!caller_->ended() || !sidecar_->ended()) return;
     relay_.loop_.bury(shared_from_this());
     relay_.pairs_.erase(shared_from_this());
@@ -123,14 +123,14 @@
   ForwardRelay& relay_;
   std::shared_ptr<RelayEnd> caller_;
   std::shared_ptr<RelayEnd> sidecar_;
-  bool staysOpen_ = false;  // towards the sidecar, though its caller's end was reset
-  bool cutsAnswer_ = false;
+  bool keepsSidecarOpen_ = false;  // after the end of the caller
+  bool truncatesResponse_ = false;
 };
 
 ForwardRelay::ForwardRelay(sidecar::Loop& loop, const rackroute::mesh::Address& at,
                            rackroute::mesh::Address to, Chance& chance)
     : loop_(loop),
-      to_(std::move(to)),
+      target_(std::move(to)),
       chance_(chance),
       listener_(loop, at, [this](Poco::Net::StreamSocket socket, std::string peer) {
         const auto pair = std::make_shared<ForwardRelayPair>(*this, std::move(socket), std::move(peer));
--- a/src/lab/mesh/forward_relay.hpp
+++ b/src/lab/mesh/forward_relay.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// Stands between the callers and one sidecar's inbound and resets connections as it is told to: before a
-// request has passed, after it, within its answer, at both ends at once, or so that the request comes late,
-// when its caller knows of the reset already. Loopback only.
+// A TCP relay in front of a sidecar's inbound listener that resets a ratio of the connections: before the
+// request is forwarded, after it, in the middle of the response, at both ends, or with the request forwarded
+// late, after the caller has seen the reset. Loopback only.
 
 #include <cstdint>
 #include <memory>
@@ -26,19 +26,19 @@
   ForwardRelay& operator=(const ForwardRelay&) = delete;
   ~ForwardRelay();
 
-  /// From now on this part of the requests meets a reset.
-  void reset(double part) { part_ = part; }
+  /// Sets the ratio of requests whose connection is reset.
+  void setResetRatio(double ratio) { resetRatio_ = ratio; }
   [[nodiscard]] std::uint64_t resets() const { return resets_; }
 
  private:
   friend class ForwardRelayPair;
 
   sidecar::Loop& loop_;
-  rackroute::mesh::Address to_;
+  rackroute::mesh::Address target_;
   Chance& chance_;
   rackroute::mesh::Listener listener_;
   std::set<std::shared_ptr<ForwardRelayPair>> pairs_;
-  double part_ = 0;
+  double resetRatio_ = 0;
   std::uint64_t resets_ = 0;
 };
 
--- a/src/lab/mesh/process_children.hpp
+++ b/src/lab/mesh/process_children.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The mesh's own programs as real processes: their settings, their starts, and the signals that end or freeze
-// them.
+// The mesh programs as child processes: generates their settings, starts them, and sends the signals that
+// terminate, freeze or reload them.
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -15,33 +15,33 @@
 
 class ProcessChildren {
  public:
-  /// relayed: a relay stands at each sidecar's inbound.
-  ProcessChildren(ProcessContext& context, const ProcessPlan& plan, bool relayed);
+  /// relayed: each sidecar's inbound listener is behind a ForwardRelay.
+  ProcessChildren(ProcessContext& context, const ProcessRunOptions& plan, bool relayed);
   ProcessChildren(const ProcessChildren&) = delete;
   ProcessChildren& operator=(const ProcessChildren&) = delete;
   ~ProcessChildren();
 
   void start(std::uint32_t machine, bool firstBoot);
-  /// SIGKILL; it starts again then, if nobody else has started it.
+  /// Sends SIGKILL and restarts the process at `until`, unless it has been started again before.
   void kill(std::uint32_t machine, Span until, bool wiped);
   void freeze(std::uint32_t machine, Span until);
-  void term(std::uint32_t machine);
-  void hangUp(std::uint32_t machine);
-  /// When it was last killed, frozen or started; what it holds may have been cut by that.
+  void terminate(std::uint32_t machine);
+  void reload(std::uint32_t machine);
+  /// When the process was last killed, or the end of its last freeze.
   [[nodiscard]] Span disturbedAt(std::uint32_t machine) const { return disturbedAt_[machine]; }
-  [[nodiscard]] bool gone(std::uint32_t machine) { return children_.gone(machine); }
+  [[nodiscard]] bool hasExited(std::uint32_t machine) { return children_.gone(machine); }
   [[nodiscard]] pid_t idAt(std::uint32_t machine) const { return children_.idAt(machine); }
-  /// Judges those that ended though nobody told them to.
-  void look();
+  /// Reports processes that exited without a signal from the lab.
+  void checkExits();
 
  private:
   [[nodiscard]] nlohmann::json settings(std::uint32_t machine, bool firstBoot) const;
-  [[nodiscard]] std::string dataOf(std::uint32_t machine) const {
+  [[nodiscard]] std::string dataFolderOf(std::uint32_t machine) const {
     return folder_ + '/' + context_.machines.nameOf(machine);
   }
 
   ProcessContext& context_;
-  const ProcessPlan& plan_;
+  const ProcessRunOptions& plan_;
   bool relayed_;
   std::string folder_;
   Children children_;
--- a/src/lab/mesh/process_clients.hpp
+++ b/src/lab/mesh/process_clients.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The clients of a mesh of real processes: requests as they arrive, tries again after failures, and repeats
-// of good answers. Every byte of an answer is compared with the run that it must be of.
+// The clients of a mesh of real processes: Poisson arrivals, retries after failures, and repeated requests
+// after successes. Every byte of a response is compared with the execution that it must come from.
 
 #include <cstdint>
 #include <functional>
@@ -18,7 +18,7 @@
 
 class ProcessClients {
  public:
-  /// disturbedAt: when a machine's process was last killed or frozen.
+  /// When the process on a machine was last killed or frozen.
   using DisturbedAt = std::function<Span(std::uint32_t machine)>;
   ProcessClients(ProcessContext& context, const ProcessServers& servers, Chance& arrivals, Chance& chance,
                  DisturbedAt disturbedAt)
@@ -28,30 +28,31 @@
         chance_(chance),
         disturbedAt_(std::move(disturbedAt)) {}
 
-  /// The first request, and from there on all until the end.
-  void arrive();
-  /// No new work for a machine whose process leaves, until it is back.
-  void avoid(std::uint32_t machine) { leaving_.insert(machine); }
-  void use(std::uint32_t machine) { leaving_.erase(machine); }
-  /// Keyed requests without an answer; machine: of those that were sent there, none: of all.
-  [[nodiscard]] std::uint64_t keyedOpen(std::optional<std::uint32_t> machine) const;
-  /// The service beside the sidecar to which an attempt was sent.
+  /// Schedules the next arrival and sends one request, until the end of the run.
+  void scheduleArrival();
+  /// Excludes a machine whose process is shutting down from new requests.
+  void excludeMachine(std::uint32_t machine) { excluded_.insert(machine); }
+  void includeMachine(std::uint32_t machine) { excluded_.erase(machine); }
+  /// Number of keyed requests in flight, at one machine or at all.
+  [[nodiscard]] std::uint64_t keyedInFlight(std::optional<std::uint32_t> machine) const;
+  /// The service on the machine to which the attempt was sent; -1 for an unknown attempt.
   [[nodiscard]] int callerOf(std::uint64_t attempt) const;
 
  private:
-  struct Open {
+  struct InFlight {
     std::uint32_t machine = 0;
     bool keyed = false;
   };
-  void ask(std::uint32_t machine, const Wanted& wanted);
-  void answered(std::uint32_t machine, const Wanted& wanted, std::uint64_t attempt,
-                const std::shared_ptr<const http::Message>& answer);
-  void judgeEnd(std::uint32_t machine, std::uint64_t attempt, Span sentAt,
-                rackroute::mesh::RequestOutcome how);
-  void check(const Wanted& wanted, std::uint64_t attempt, const http::Message& answer);
-  void again(const Wanted& wanted);
+  void sendRequest(std::uint32_t machine, const Wanted& wanted);
+  void handleResponse(std::uint32_t machine, const Wanted& wanted, std::uint64_t attempt,
+                      const std::shared_ptr<const http::Message>& response);
+  void checkConnectionEnd(std::uint32_t machine, std::uint64_t attempt, Span sentAt,
+                          rackroute::mesh::RequestOutcome outcome);
+  void checkResponse(const Wanted& wanted, std::uint64_t attempt, const http::Message& response);
+  void maybeRepeat(const Wanted& wanted);
   [[nodiscard]] std::uint32_t anySidecar() {
-    return context_.machines.sidecar(static_cast<std::uint32_t>(fraction(chance_) * context_.day.sidecars));
+    return context_.machines.sidecarMachine(
+        static_cast<std::uint32_t>(fraction(chance_) * context_.day.sidecars));
   }
 
   ProcessContext& context_;
@@ -59,12 +60,12 @@
   Chance& arrivals_;
   Chance& chance_;
   DisturbedAt disturbedAt_;
-  std::map<std::uint64_t, Open> open_;                // attempts without an answer
+  std::map<std::uint64_t, InFlight> inFlight_;        // by attempt
   std::map<std::uint64_t, std::uint32_t> machineOf_;  // by attempt
-  std::set<std::uint32_t> leaving_;
+  std::set<std::uint32_t> excluded_;
   std::uint64_t attempts_ = 0;
   std::uint64_t keys_ = 0;
-  std::uint32_t told_ = 0;
+  std::uint32_t loggedRequests_ = 0;
 };
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/process_context.hpp
+++ b/src/lab/mesh/process_context.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// What the parts of a mesh of real processes on loopback share: where its machines are, the loop and its
-// clock, the judge, and the form of a server's answers.
+// State shared by the parts of a mesh of real processes on loopback: machine addresses, event loop and clock,
+// judge, and the format of server responses.
 
 #include <charconv>
 #include <cstdint>
@@ -20,27 +20,27 @@
 
 namespace rackroute::lab::mesh {
 
-/// The ports, alike on all machines.
+/// The ports, identical on all machines.
 enum class Port : int {
   ready = 8141,
   control = 8144,
   server = 8145,
   inbound = 8146,
   outbound = 8147,
-  behindRelay = 8148,  // where a sidecar listens if a relay stands at its inbound
+  behindRelay = 8148,  // inbound listener of a sidecar behind a relay
 };
 
-/// The machines of a day by number, the control processes' first, and their addresses.
+/// Maps machine numbers to names and addresses; control processes have the lowest numbers.
 class MachineMap {
  public:
-  /// network: the second number of all addresses, 127.N.x.x.
+  /// network: second octet of all addresses, 127.N.x.x.
   MachineMap(const Day& day, std::uint32_t network) : day_(day), network_(network) {}
 
   [[nodiscard]] bool isControl(std::uint32_t machine) const { return machine < day_.controls; }
   [[nodiscard]] std::uint32_t numberOf(std::uint32_t machine) const {
     return isControl(machine) ? machine : machine - day_.controls;
   }
-  [[nodiscard]] std::uint32_t sidecar(std::uint32_t number) const {
+  [[nodiscard]] std::uint32_t sidecarMachine(std::uint32_t number) const {
     return day_.controls + number % day_.sidecars;
   }
   [[nodiscard]] std::string nameOf(std::uint32_t machine) const {
@@ -50,13 +50,13 @@
     return "127." + std::to_string(network_) + (isControl(machine) ? ".1." : ".2.") +
            std::to_string(numberOf(machine) + 1);
   }
-  [[nodiscard]] rackroute::mesh::Address at(std::uint32_t machine, Port port) const {
+  [[nodiscard]] rackroute::mesh::Address addressOf(std::uint32_t machine, Port port) const {
     return {ipOf(machine) + ':' + std::to_string(static_cast<int>(port))};
   }
   [[nodiscard]] std::string zoneOf(std::uint32_t machine) const {
     return "z" + std::to_string(numberOf(machine) % day_.zones);
   }
-  /// Of the server on a sidecar's machine.
+  /// The service of the server on a sidecar's machine.
   [[nodiscard]] int serviceOf(std::uint32_t machine) const { return static_cast<int>(numberOf(machine) % 2); }
 
  private:
@@ -64,30 +64,31 @@
   std::uint32_t network_;
 };
 
-/// Owned by the run, which outlives its parts.
+/// Owned by the run, which outlives the parts that refer to it.
 struct ProcessContext {
   const Day& day;
   sidecar::Loop& loop;
   Judge& judge;
   rackroute::mesh::HttpClient& httpClient;
   const MachineMap& machines;
-  std::function<void(const std::string&)> tell;
-  Span zero{};  // of the loop's clock, when the run began
-  Span end{};   // of the requests
+  std::function<void(const std::string&)> logEvent;
+  Span startTime{};  // loop time at the start of the run
+  Span loadEnd{};    // end of the request load, relative to the start
 
-  [[nodiscard]] Span now() const { return loop.now() - zero; }
+  [[nodiscard]] Span now() const { return loop.now() - startTime; }
 };
 
-inline constexpr std::string_view kSeal = "Rackroute-Server-Seal";
+inline constexpr std::string_view kSealHeader = "Rackroute-Server-Seal";
 
-inline std::string attemptText(std::uint64_t attempt) {
+inline std::string attemptIdHex(std::uint64_t attempt) {
   std::string digits(16, '0');
   for (std::size_t i = 16; i-- > 0; attempt >>= 4) digits[i] = "0123456789abcdef"[attempt & 15];
   return digits;
 }
 
-/// A field that is a whole number; none: it is missing, or is none.
-inline std::optional<std::uint64_t> numberIn(const http::Message& message, std::string_view field, int base) {
+/// The value of an integer header field; nullopt if it is missing or malformed.
+inline std::optional<std::uint64_t> integerField(const http::Message& message, std::string_view field,
+                                                 int base) {
   const auto text = message.field(field);
   std::uint64_t number = 0;
   if (!text) return std::nullopt;
@@ -96,9 +97,9 @@
   return number;
 }
 
-/// The bytes of a run's answer: each of them belongs to this run alone, some 500 of them.
-inline std::string bodyOf(std::uint64_t attempt, std::uint64_t seal) {
-  const std::string piece = attemptText(attempt) + '/' + std::to_string(seal) + ' ';
+/// The response body of an execution: at least 500 bytes that repeat its attempt and seal.
+inline std::string executionBody(std::uint64_t attempt, std::uint64_t seal) {
+  const std::string piece = attemptIdHex(attempt) + '/' + std::to_string(seal) + ' ';
   std::string body;
   while (body.size() < 500) body += piece;
   return body;
--- a/src/lab/mesh/process_operators.hpp
+++ b/src/lab/mesh/process_operators.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The operators of a mesh of real processes: changes of the configuration, each repeated until it has a clear
-// answer, and the reading back at the end.
+// The operators of a mesh of real processes: configuration changes, each retried until it gets a definite
+// response, and the read-back of the configuration at the end.
 
 #include <cstdint>
 #include <functional>
@@ -15,10 +15,10 @@
  public:
   explicit ProcessOperators(ProcessContext& context) : context_(context) {}
 
-  /// The first call, with every item.
-  void begin();
+  /// Sends the initial configuration.
+  void applyInitialConfig();
   void change(std::uint32_t who, bool race, bool bad);
-  /// Reads back and judges it; done: after an answer, or once until is over.
+  /// Reads the configuration and checks it. Calls done after a response, or once `until` has passed.
   void readBack(std::uint32_t control, Span until, const std::function<void()>& done);
   [[nodiscard]] const OperatorBook& table() const { return table_; }
 
--- a/src/lab/mesh/process_servers.hpp
+++ b/src/lab/mesh/process_servers.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The application servers of a mesh of real processes: one beside each sidecar, within the lab. They beat,
-// run requests, refuse them when full, and fail as the day has it.
+// The application servers of a mesh of real processes, one per sidecar, run within the lab's process. They
+// send heartbeats, execute requests, reject them when overloaded, and fail as the scenario demands.
 
 #include <cstdint>
 #include <deque>
@@ -23,26 +23,30 @@
   ProcessServers(ProcessContext& context, Chance& chance, std::function<int(std::uint64_t attempt)> callerOf)
       : context_(context), chance_(chance), callerOf_(std::move(callerOf)) {}
 
-  /// Its listener, for all lives; throws Poco's exceptions where the address can't be had.
-  void open(std::uint32_t machine);
-  /// Another life of it begins.
-  void begin(std::uint32_t machine);
-  /// Ends without a word, with all its connections.
+  /// Opens the listener, which all instances on the machine share; throws Poco exceptions if binding fails.
+  void listen(std::uint32_t machine);
+  /// Starts a new instance.
+  void startInstance(std::uint32_t machine);
+  /// Stops the instance without deregistration and cuts its connections.
   void crash(std::uint32_t machine);
-  /// Drains, signs off once that was acknowledged and served out, and begins anew.
-  void release(std::uint32_t machine) { servers_.at(machine).draining = true; }
-  void losesAnswers(std::uint32_t machine, double part) { servers_.at(machine).loses = part; }
-  /// Part of the answers name another request, or come twice.
-  void spoilsAnswers(std::uint32_t machine, double part) { servers_.at(machine).spoils = part; }
-  void slows(std::uint32_t machine, double times) { servers_.at(machine).slow = times; }
-  /// Requests of keyed routes that it is working on.
-  [[nodiscard]] std::uint32_t keyedAtWork(std::uint32_t machine) const { return servers_.at(machine).keyed; }
+  /// Drains the instance, deregisters it when the drain is complete, and starts a new one.
+  void drainAndRestart(std::uint32_t machine) { servers_.at(machine).draining = true; }
+  void setResponseLoss(std::uint32_t machine, double ratio) { servers_.at(machine).lossRatio = ratio; }
+  /// Sets the ratio of responses that carry a wrong attempt ID or are sent twice.
+  void setResponseCorruption(std::uint32_t machine, double ratio) {
+    servers_.at(machine).corruptionRatio = ratio;
+  }
+  void setSlowdown(std::uint32_t machine, double factor) { servers_.at(machine).slowdown = factor; }
+  /// Number of keyed requests in execution.
+  [[nodiscard]] std::uint32_t keyedInExecution(std::uint32_t machine) const {
+    return servers_.at(machine).keyed;
+  }
 
   struct Run {
     std::uint64_t attempt = 0;
-    std::string where;
+    std::string location;
   };
-  /// The run that a seal belongs to; nullptr: there was none.
+  /// The execution with a seal; nullptr if there is none.
   [[nodiscard]] const Run* runOf(std::uint64_t seal) const;
 
  private:
@@ -52,28 +56,28 @@
     bool up = true;
     bool draining = false;
     Span drainAcked{-1};
-    std::uint64_t lives = 0;
+    std::uint64_t instanceNo = 0;
     std::uint64_t seq = 0;
     std::uint32_t busy = 0;
-    double slow = 1, loses = 0, spoils = 0;
+    double slowdown = 1, lossRatio = 0, corruptionRatio = 0;
     std::uint32_t keyed = 0;
     std::deque<std::function<void()>> queue;
-    std::shared_ptr<rackroute::mesh::HttpServerConnection::ListenerContext> shared;
+    std::shared_ptr<rackroute::mesh::HttpServerConnection::ListenerContext> listenerContext;
     std::unique_ptr<rackroute::mesh::Listener> listener;
   };
   struct Work {
     std::uint64_t attempt = 0;
     bool keyed = false;
-    Span giveUp{};
+    Span deadline{};
   };
 
-  void beat(std::uint32_t machine, std::uint64_t life);
-  void signOff(std::uint32_t machine, std::uint64_t life);
+  void sendHeartbeat(std::uint32_t machine, std::uint64_t instanceNo);
+  void deregister(std::uint32_t machine, std::uint64_t instanceNo);
   void serve(std::uint32_t machine, const ConnectionRef& connection, const http::Message& request);
   void checkUnchanged(std::uint64_t attempt, const http::Message& request);
-  void work(std::uint32_t machine, const ConnectionRef& connection, const Work& work);
+  void execute(std::uint32_t machine, const ConnectionRef& connection, const Work& work);
   void finish(std::uint32_t machine, const ConnectionRef& connection, const Work& work, std::uint64_t seal,
-              bool inTime, double luck);
+              bool inTime, double sample);
 
   ProcessContext& context_;
   Chance& chance_;
--- a/src/lab/mesh/processes.cpp
+++ b/src/lab/mesh/processes.cpp
@@ -22,13 +22,13 @@
 using namespace std::chrono_literals;
 using namespace rackroute::mesh;
 
-constexpr std::uint32_t kMostMachines = 300;  // processes that one machine bears
-constexpr Span kLead = 4s;                    // before the first request
-constexpr Span kDead = 300ms;                 // until a killed process starts again
-constexpr Span kSettle = 5s;                  // after the last request, until the configuration is read back
-constexpr Span kReadBacks = 20s;              // for an answer to that
-constexpr Span kLook = 50ms;                  // between looks at how late the loop is, and who has ended
-constexpr Span kLate = 500ms;                 // the machine is too slow for this run
+constexpr std::uint32_t kMaxMachines = 300;
+constexpr Span kWarmUp = 4s;           // from the start of the processes to the first request
+constexpr Span kRestartDelay = 300ms;  // until a killed process is restarted
+constexpr Span kSettle = 5s;           // from the last request to the read-back of the configuration
+constexpr Span kReadBackTimeout = 20s;
+constexpr Span kCheckInterval = 50ms;    // for loop delay and exited processes
+constexpr Span kLoopDelayLimit = 500ms;  // a run with a larger loop delay has no verdict
 
 Span spanOf(double seconds) {
   return std::chrono::duration_cast<Span>(std::chrono::duration<double>(seconds));
@@ -36,8 +36,8 @@
 
 double secondsOf(Span span) { return std::chrono::duration<double>(span).count(); }
 
-/// Loopback cuts nothing off, and no process can take another's power or disk away from under it.
-bool onlyVirtual(TroubleKind kind) {
+/// Whether a fault, such as a partition, power loss or disk fault, can't be injected into real processes.
+bool isVirtualOnly(TroubleKind kind) {
   switch (kind) {
     case TroubleKind::powerControl:
     case TroubleKind::cutSidecar:
@@ -70,48 +70,48 @@
   }
 }
 
-bool hasResets(const Day& day) {
+bool hasResetFaults(const Day& day) {
   return std::any_of(day.troubles.begin(), day.troubles.end(),
-                     [](const Trouble& trouble) { return trouble.kind == TroubleKind::resetForwards; });
+                     [](const Trouble& fault) { return fault.kind == TroubleKind::resetForwards; });
 }
 
-/// One run: the parts, and the troubles done to them.
+/// One run: owns the parts of the mesh and injects the faults.
 class ProcessMesh {
  public:
-  ProcessMesh(const Day& day, const ProcessPlan& plan)
+  ProcessMesh(const Day& day, const ProcessRunOptions& plan)
       : day_(day),
         plan_(plan),
         arrivals_(chanceOf(plan.seed, Purpose::arrivals)),
         chance_(chanceOf(plan.seed, Purpose::clients)),
-        resets_(chanceOf(plan.seed, Purpose::network)),
+        resetChance_(chanceOf(plan.seed, Purpose::network)),
         judge_({kDrain, kApply, spanOf(day.keyWindow), kRetryWindow, kRetryRatio, kRetrySlack}),
         httpClient_(loop_, {300ms, 5s, Span{0}, 1 << 20, 64}),
         machines_(day_, 20 + static_cast<std::uint32_t>(::getpid()) % 200),
         context_{day_,        loop_,     judge_,
-                 httpClient_, machines_, [this](const std::string& line) { tell(line); }},
+                 httpClient_, machines_, [this](const std::string& line) { logEvent(line); }},
         servers_(context_, chance_, [this](std::uint64_t attempt) { return clients_.callerOf(attempt); }),
         clients_(context_, servers_, arrivals_, chance_,
                  [this](std::uint32_t machine) { return children_.disturbedAt(machine); }),
         operators_(context_),
-        children_(context_, plan, hasResets(day)) {}
+        children_(context_, plan, hasResetFaults(day)) {}
 
-  PlayedProcesses run();
+  ProcessRunResult run();
 
  private:
-  void tell(const std::string& line) const {
-    if (plan_.tell) plan_.tell(line);
+  void logEvent(const std::string& line) const {
+    if (plan_.onEvent) plan_.onEvent(line);
   }
   void begin();
-  void strike(const Trouble& trouble);
-  void resetForwards(const Trouble& trouble, std::uint32_t sidecar);
+  void injectFault(const Trouble& fault);
+  void resetForwards(const Trouble& fault, std::uint32_t sidecar);
   void kill(std::uint32_t machine, Span until, bool wiped);
-  void term(std::uint32_t machine);
-  void close();
-  void look();
+  void terminate(std::uint32_t machine);
+  void applyClosing();
+  void checkProgress();
 
   Day day_;
-  const ProcessPlan& plan_;
-  Chance arrivals_, chance_, resets_;
+  const ProcessRunOptions& plan_;
+  Chance arrivals_, chance_, resetChance_;
   sidecar::Loop loop_;
   Judge judge_;
   HttpClient httpClient_;
@@ -121,61 +121,62 @@
   ProcessClients clients_;
   ProcessOperators operators_;
   ProcessChildren children_;
-  std::map<std::uint32_t, std::unique_ptr<ForwardRelay>> relays_;  // by machine; none without resets
+  std::map<std::uint32_t, std::unique_ptr<ForwardRelay>> relays_;  // by machine; empty without reset faults
   std::uint64_t kills_ = 0;
-  std::uint64_t keyedAtKills_ = 0;
-  Span latest_{};
-  Span lookedAt_{};
+  std::uint64_t keyedInFlightAtKills_ = 0;
+  Span maxLoopDelay_{};
+  Span lastCheckAt_{};
 };
 
-void ProcessMesh::look() {
-  latest_ = std::max(latest_, context_.now() - lookedAt_ - kLook);
-  lookedAt_ = context_.now();
-  children_.look();
+void ProcessMesh::checkProgress() {
+  maxLoopDelay_ = std::max(maxLoopDelay_, context_.now() - lastCheckAt_ - kCheckInterval);
+  lastCheckAt_ = context_.now();
+  children_.checkExits();
   if (Children::brokenOff()) return loop_.stop();
-  loop_.in(kLook, [this] { look(); });
+  loop_.in(kCheckInterval, [this] { checkProgress(); });
 }
 
 void ProcessMesh::kill(std::uint32_t machine, Span until, bool wiped) {
   ++kills_;
   const bool control = machines_.isControl(machine);
-  keyedAtKills_ += clients_.keyedOpen(control ? std::nullopt : std::optional(machine));
-  if (!control) keyedAtKills_ += servers_.keyedAtWork(machine);
+  keyedInFlightAtKills_ += clients_.keyedInFlight(control ? std::nullopt : std::optional(machine));
+  if (!control) keyedInFlightAtKills_ += servers_.keyedInExecution(machine);
   children_.kill(machine, until, wiped);
 }
 
-void ProcessMesh::term(std::uint32_t machine) {
-  if (!day_.clientsStay) clients_.avoid(machine);
-  children_.term(machine);
-  loop_.in(kGrace, [this, machine, process = children_.idAt(machine), told = context_.now()] {
-    clients_.use(machine);
-    const bool gone = children_.gone(machine);
-    // Another trouble has started another process meanwhile.
-    if (!gone && children_.idAt(machine) != process) return;
-    // One that was frozen has had less than its grace.
-    if (!gone && children_.disturbedAt(machine) < told)
-      judge_.failed(context_.now(), "GRACE", machines_.nameOf(machine) + " still runs");
-    if (gone || children_.disturbedAt(machine) < context_.now()) children_.start(machine, false);
+void ProcessMesh::terminate(std::uint32_t machine) {
+  if (!day_.clientsStay) clients_.excludeMachine(machine);
+  children_.terminate(machine);
+  loop_.in(kGrace, [this, machine, process = children_.idAt(machine), signalledAt = context_.now()] {
+    clients_.includeMachine(machine);
+    const bool exited = children_.hasExited(machine);
+    // Another fault has restarted the process in the meantime.
+    if (!exited && children_.idAt(machine) != process) return;
+    // A process that was frozen after the signal has not had its whole grace period.
+    if (!exited && children_.disturbedAt(machine) < signalledAt)
+      judge_.failed(context_.now(), "GRACE",
+                    machines_.nameOf(machine) + " still runs after its grace period");
+    if (exited || children_.disturbedAt(machine) < context_.now()) children_.start(machine, false);
   });
 }
 
-void ProcessMesh::resetForwards(const Trouble& trouble, std::uint32_t sidecar) {
+void ProcessMesh::resetForwards(const Trouble& fault, std::uint32_t sidecar) {
   ForwardRelay& relay = *relays_.at(sidecar);
-  relay.reset(trouble.part);
-  tell("resets a part of the forwards to " + machines_.nameOf(sidecar));
-  loop_.in(spanOf(trouble.lasts), [&relay] { relay.reset(0); });
+  relay.setResetRatio(fault.part);
+  logEvent("resetting a ratio of the connections to " + machines_.nameOf(sidecar));
+  loop_.in(spanOf(fault.lasts), [&relay] { relay.setResetRatio(0); });
 }
 
-void ProcessMesh::strike(const Trouble& trouble) {
-  const std::uint32_t control = trouble.who % day_.controls;
-  const std::uint32_t sidecar = machines_.sidecar(trouble.who);
-  const Span until = context_.now() + spanOf(trouble.lasts);
-  const auto later = [&](std::function<void()> task) { loop_.in(spanOf(trouble.lasts), std::move(task)); };
-  switch (trouble.kind) {
+void ProcessMesh::injectFault(const Trouble& fault) {
+  const std::uint32_t control = fault.who % day_.controls;
+  const std::uint32_t sidecar = machines_.sidecarMachine(fault.who);
+  const Span until = context_.now() + spanOf(fault.lasts);
+  const auto afterFault = [&](std::function<void()> task) { loop_.in(spanOf(fault.lasts), std::move(task)); };
+  switch (fault.kind) {
     case TroubleKind::killSidecar:
-      return kill(sidecar, context_.now() + kDead, false);
+      return kill(sidecar, context_.now() + kRestartDelay, false);
     case TroubleKind::killControl:
-      return kill(control, context_.now() + kDead, false);
+      return kill(control, context_.now() + kRestartDelay, false);
     case TroubleKind::wipeControl:
       return kill(control, until, true);
     case TroubleKind::freezeSidecar:
@@ -183,78 +184,81 @@
     case TroubleKind::freezeControl:
       return children_.freeze(control, until);
     case TroubleKind::termSidecar:
-      return term(sidecar);
+      return terminate(sidecar);
     case TroubleKind::hangUp:
-      return children_.hangUp(trouble.who % (day_.controls + day_.sidecars));
+      return children_.reload(fault.who % (day_.controls + day_.sidecars));
     case TroubleKind::resetForwards:
-      return resetForwards(trouble, sidecar);
+      return resetForwards(fault, sidecar);
     case TroubleKind::serverLoses:
-      servers_.losesAnswers(sidecar, trouble.part);
-      return later([this, sidecar] { servers_.losesAnswers(sidecar, 0); });
+      servers_.setResponseLoss(sidecar, fault.part);
+      return afterFault([this, sidecar] { servers_.setResponseLoss(sidecar, 0); });
     case TroubleKind::serverSpoils:
-      servers_.spoilsAnswers(sidecar, trouble.part);
-      return later([this, sidecar] { servers_.spoilsAnswers(sidecar, 0); });
+      servers_.setResponseCorruption(sidecar, fault.part);
+      return afterFault([this, sidecar] { servers_.setResponseCorruption(sidecar, 0); });
     case TroubleKind::serverSlow:
-      servers_.slows(sidecar, std::max(1.0, trouble.part));
-      return later([this, sidecar] { servers_.slows(sidecar, 1); });
+      servers_.setSlowdown(sidecar, std::max(1.0, fault.part));
+      return afterFault([this, sidecar] { servers_.setSlowdown(sidecar, 1); });
     case TroubleKind::serverCrash:
       servers_.crash(sidecar);
-      return later([this, sidecar] { servers_.begin(sidecar); });
+      return afterFault([this, sidecar] { servers_.startInstance(sidecar); });
     case TroubleKind::release:
-      return servers_.release(sidecar);
+      return servers_.drainAndRestart(sidecar);
     case TroubleKind::change:
     case TroubleKind::race:
     case TroubleKind::badChange:
-      return operators_.change(trouble.who, trouble.kind == TroubleKind::race,
-                               trouble.kind == TroubleKind::badChange);
+      return operators_.change(fault.who, fault.kind == TroubleKind::race,
+                               fault.kind == TroubleKind::badChange);
     default:
-      return;  // refused before the day began
+      return;  // rejected before the run
   }
 }
 
-void ProcessMesh::close() {
+void ProcessMesh::applyClosing() {
   const std::uint32_t wiped = static_cast<std::uint32_t>(plan_.seed) % day_.controls;
   for (std::uint32_t control = 0; control < day_.controls; ++control) {
-    if (day_.closing == Closing::killAll) kill(control, context_.now() + kDead, false);
-    if (day_.closing == Closing::wipeOne && control == wiped) kill(control, context_.now() + kDead, true);
+    if (day_.closing == Closing::killAll) kill(control, context_.now() + kRestartDelay, false);
+    if (day_.closing == Closing::wipeOne && control == wiped)
+      kill(control, context_.now() + kRestartDelay, true);
   }
 }
 
 void ProcessMesh::begin() {
-  const auto relayed = hasResets(day_);
+  const auto relayed = hasResetFaults(day_);
   for (std::uint32_t i = 0; i < day_.sidecars; ++i) {
-    const std::uint32_t machine = machines_.sidecar(i);
-    servers_.open(machine);
+    const std::uint32_t machine = machines_.sidecarMachine(i);
+    servers_.listen(machine);
     if (relayed) {
-      relays_[machine] = std::make_unique<ForwardRelay>(loop_, machines_.at(machine, Port::inbound),
-                                                        machines_.at(machine, Port::behindRelay), resets_);
+      relays_[machine] =
+          std::make_unique<ForwardRelay>(loop_, machines_.addressOf(machine, Port::inbound),
+                                         machines_.addressOf(machine, Port::behindRelay), resetChance_);
     }
   }
   for (std::uint32_t i = 0; i < day_.controls + day_.sidecars; ++i) children_.start(i, true);
-  for (std::uint32_t i = 0; i < day_.sidecars; ++i) servers_.begin(machines_.sidecar(i));
-  loop_.in(500ms, [this] { operators_.begin(); });
-  loop_.at(context_.zero + kLead, [this] { clients_.arrive(); });
-  for (const Trouble& trouble : day_.troubles) {
-    loop_.at(context_.zero + kLead + spanOf(trouble.at), [this, trouble] { strike(trouble); });
+  for (std::uint32_t i = 0; i < day_.sidecars; ++i) servers_.startInstance(machines_.sidecarMachine(i));
+  loop_.in(500ms, [this] { operators_.applyInitialConfig(); });
+  loop_.at(context_.startTime + kWarmUp, [this] { clients_.scheduleArrival(); });
+  for (const Trouble& fault : day_.troubles) {
+    loop_.at(context_.startTime + kWarmUp + spanOf(fault.at), [this, fault] { injectFault(fault); });
   }
-  if (day_.closing != Closing::none) loop_.at(context_.zero + context_.end - 3s, [this] { close(); });
-  loop_.at(context_.zero + context_.end + kSettle,
-           [this] { operators_.readBack(0, context_.now() + kReadBacks, [this] { loop_.stop(); }); });
-  look();
+  if (day_.closing != Closing::none)
+    loop_.at(context_.startTime + context_.loadEnd - 3s, [this] { applyClosing(); });
+  loop_.at(context_.startTime + context_.loadEnd + kSettle,
+           [this] { operators_.readBack(0, context_.now() + kReadBackTimeout, [this] { loop_.stop(); }); });
+  checkProgress();
 }
 
-PlayedProcesses ProcessMesh::run() {
-  context_.zero = loop_.now();
-  context_.end = kLead + spanOf(day_.seconds);
+ProcessRunResult ProcessMesh::run() {
+  context_.startTime = loop_.now();
+  context_.loadEnd = kWarmUp + spanOf(day_.seconds);
   loop_.guarded([this] { begin(); });
   loop_.run();
-  PlayedProcesses played;
+  ProcessRunResult played;
   played.figures = endOfDay(judge_, operators_.table(), day_.leastServed, context_.now());
   played.broken = judge_.broken();
-  played.late = latest_ > kLate || Children::brokenOff();
+  played.late = maxLoopDelay_ > kLoopDelayLimit || Children::brokenOff();
   played.figures["kills"] = kills_;
-  played.figures["keyed_at_work_when_killed"] = keyedAtKills_;
-  played.figures["latest_look_ms"] = secondsOf(latest_) * 1000;
+  played.figures["keyed_at_work_when_killed"] = keyedInFlightAtKills_;
+  played.figures["latest_look_ms"] = secondsOf(maxLoopDelay_) * 1000;
   std::uint64_t resets = 0;
   for (const auto& entry : relays_) resets += entry.second->resets();
   if (!relays_.empty()) played.figures["resets"] = resets;
@@ -263,30 +267,30 @@
 
 }  // namespace
 
-Day forProcesses(Day day) {
+Day restrictToProcesses(Day day) {
   day.troubles.erase(std::remove_if(day.troubles.begin(), day.troubles.end(),
-                                    [](const Trouble& trouble) { return onlyVirtual(trouble.kind); }),
+                                    [](const Trouble& fault) { return isVirtualOnly(fault.kind); }),
                      day.troubles.end());
   if (day.closing == Closing::powerAll) day.closing = Closing::killAll;
   return day;
 }
 
-PlayedProcesses playProcesses(const Day& day, const ProcessPlan& plan) {
-  if (day.controls + day.sidecars > kMostMachines)
-    throw BadScenario(day.name + ": controls and sidecars: with processes at most " +
-                      std::to_string(kMostMachines) + " together");
+ProcessRunResult runWithProcesses(const Day& day, const ProcessRunOptions& plan) {
+  if (day.controls + day.sidecars > kMaxMachines)
+    throw BadScenario(day.name + ": controls and sidecars: at most " + std::to_string(kMaxMachines) +
+                      " in total with real processes");
   if (day.controls % day.zones != 0)
-    throw BadScenario(day.name + ": controls: with processes as many in each zone");
+    throw BadScenario(day.name + ": controls: must be a multiple of the zones with real processes");
   if (day.closing == Closing::powerAll)
-    throw BadScenario(day.name + ": closing: power_all goes with virtual time");
-  for (const Trouble& trouble : day.troubles) {
-    if (onlyVirtual(trouble.kind))
-      throw BadScenario(day.name + ": trouble: " + mesh::nameOf(trouble.kind) + " goes with virtual time");
+    throw BadScenario(day.name + ": closing: power_all requires virtual time");
+  for (const Trouble& fault : day.troubles) {
+    if (isVirtualOnly(fault.kind))
+      throw BadScenario(day.name + ": trouble: " + mesh::nameOf(fault.kind) + " requires virtual time");
   }
   for (const std::string& program : {plan.sidecar, plan.control}) {
-    if (::access(program.c_str(), X_OK) != 0) throw BadScenario(program + ": can't be run");
+    if (::access(program.c_str(), X_OK) != 0) throw BadScenario(program + ": not an executable file");
   }
-  if (!sidecar::setLevel("error")) throw std::logic_error("no such level");
+  if (!sidecar::setLevel("error")) throw std::logic_error("unknown log level");
   Children::prepare();
   return ProcessMesh(day, plan).run();
 }
--- a/src/lab/mesh/processes.hpp
+++ b/src/lab/mesh/processes.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// A whole mesh of real processes on loopback: its two programs as they are started in service, with servers,
-// clients and operators of the lab's own, and a day's troubles done to the processes. Judged as in virtual
-// time.
+// Runs a scenario on a mesh of real processes on loopback: the two mesh programs as deployed, with servers,
+// clients and operators within the lab. The scenario's faults are injected into the processes, and the same
+// rules are checked as in virtual time.
 
 #include <functional>
 #include <string>
@@ -12,21 +12,21 @@
 
 namespace rackroute::lab::mesh {
 
-struct ProcessPlan {
-  std::string sidecar;  // the programs
-  std::string control;
+struct ProcessRunOptions {
+  std::string sidecar;  // path of the sidecar program
+  std::string control;  // path of the control program
   std::uint64_t seed = 1;
-  std::string logs{};                              // a folder for what they log; empty: nothing is kept
-  std::function<void(const std::string&)> tell{};  // what happens, a line each
+  std::string logs{};                                 // folder for log files; empty: logs are discarded
+  std::function<void(const std::string&)> onEvent{};  // receives a line of text for each event
 };
 
-struct PlayedProcesses : Played {
-  bool late = false;  // the machine was too slow: the run tells nothing
+struct ProcessRunResult : Played {
+  bool late = false;  // the machine was too slow, or the run was interrupted: there is no verdict
 };
 
-/// The day without the troubles that processes on loopback can't have.
-Day forProcesses(Day day);
-/// Throws BadScenario where the day has troubles that processes on loopback can't have.
-PlayedProcesses playProcesses(const Day& day, const ProcessPlan& plan);
+/// Removes the faults that can't be injected into processes on loopback.
+Day restrictToProcesses(Day day);
+/// Throws BadScenario if the scenario has faults that can't be injected into processes on loopback.
+ProcessRunResult runWithProcesses(const Day& day, const ProcessRunOptions& plan);
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/runs.cpp
+++ b/src/lab/mesh/runs.cpp
@@ -23,7 +23,7 @@
   return asked.drawn ? drawDay(seed, asked.size) : asked.size;
 }
 
-void tellRun(const Day& day, std::uint64_t seed, const PlayedProcesses& result, std::ostream& out) {
+void tellRun(const Day& day, std::uint64_t seed, const ProcessRunResult& result, std::ostream& out) {
   for (const Broken& broken : result.broken)
     out << "BROKEN " << broken.rule << " at " << broken.at << " s: " << broken.what << '\n';
   const char* verdict = result.late     ? "no verdict, this machine is too slow"
@@ -34,7 +34,7 @@
       << std::endl;
 }
 
-void add(RunsPlayed& all, const Day& day, std::uint64_t seed, const PlayedProcesses& result) {
+void add(RunsPlayed& all, const Day& day, std::uint64_t seed, const ProcessRunResult& result) {
   all.runs.push_back({{"day", day.name},
                       {"seed", seed},
                       {"kept", result.kept()},
@@ -54,11 +54,11 @@
 }
 
 /// How often each trouble struck, and in how many days each rule broke.
-void tellTotals(const std::vector<PlayedProcesses>& results, double tookSeconds, std::ostream& out) {
+void tellTotals(const std::vector<ProcessRunResult>& results, double tookSeconds, std::ostream& out) {
   double virtualSeconds = 0;
   std::map<std::string, std::uint64_t> struck;
   std::map<std::string, std::uint64_t> daysBroken;
-  for (const PlayedProcesses& result : results) {
+  for (const ProcessRunResult& result : results) {
     virtualSeconds += result.figures.at("virtual_s").get<double>();
     for (const auto& [kind, count] : result.figures.at("struck").items())
       struck[kind] += count.get<std::uint64_t>();
@@ -80,7 +80,7 @@
 
 RunsPlayed playInVirtualTime(const RunsAsked& asked, std::ostream& out) {
   const auto began = std::chrono::steady_clock::now();
-  std::vector<PlayedProcesses> results(asked.seeds);
+  std::vector<ProcessRunResult> results(asked.seeds);
   std::atomic<unsigned> next{0};
   std::mutex telling;
   const auto playSome = [&] {
@@ -110,11 +110,11 @@
 RunsPlayed playOnProcesses(const RunsAsked& asked, std::ostream& out) {
   RunsPlayed all;
   for (unsigned i = 0; i < asked.seeds; ++i) {
-    ProcessPlan plan = asked.processes;
+    ProcessRunOptions plan = asked.processes;
     plan.seed = asked.seed + i;
     Day day = dayFor(asked, plan.seed);
-    if (asked.drawn) day = forProcesses(day);
-    const PlayedProcesses result = playProcesses(day, plan);
+    if (asked.drawn) day = restrictToProcesses(day);
+    const ProcessRunResult result = runWithProcesses(day, plan);
     tellRun(day, plan.seed, result, out);
     add(all, day, plan.seed, result);
   }
--- a/src/lab/mesh/runs.hpp
+++ b/src/lab/mesh/runs.hpp
@@ -19,7 +19,7 @@
   bool soaks = false;     // drawn by drawSoak(); with processes
   bool shrinks = false;   // a broken day is told with the fewest troubles with which each rule still breaks
   unsigned jobs = 1;      // days at once, in virtual time
-  ProcessPlan processes;  // its seed is each day's own
+  ProcessRunOptions processes;  // its seed is each day's own
 };
 
 struct RunsPlayed {
--- a/src/lab/mesh/state_search.hpp
+++ b/src/lab/mesh/state_search.hpp
@@ -1,9 +1,8 @@
 #pragma once
 
-// Breadth-first search over the states of a model, to a stated depth: every state that is reached by at most
-// so many steps is visited once. States are told apart by a 64-bit hash of their bytes in canonical form; two
-// states that collide would be taken for one, which at ten million states has a chance of about 3 in a
-// million.
+// Breadth-first search over the states of a model up to a maximum depth. States are identified by a 64-bit
+// hash of the bytes of their canonical form. Colliding states would be treated as one; with ten million
+// states, the probability of a collision is about 3 in a million.
 
 #include <xxhash.h>
 
@@ -18,34 +17,34 @@
 namespace rackroute::lab::mesh {
 
 struct SearchResult {
-  std::uint64_t states = 0;  // told apart
-  unsigned depth = 0;        // all states within so many steps were visited; with a trail, its length
-  bool exhausted = false;    // no state lies beyond that depth
-  bool full = false;         // stopped early: there were more states than allowed
-  std::optional<std::vector<std::string>> trail;  // the shortest, to a state that breaks the rule
+  std::uint64_t states = 0;        // distinct states
+  unsigned depth = 0;              // all states within this depth were visited; with a trace, its length
+  bool exhausted = false;          // all reachable states were visited
+  bool stateLimitReached = false;  // stopped at the maximum number of states
+  std::optional<std::vector<std::string>> trace;  // shortest path to a state that violates an invariant
 };
 
 /// A model has
-///  - State: plain data without padding; broken(const State&): whether it breaks the rule;
-///  - Step: plain data; forEachStep(state, visit): calls visit(step, nextState) for each step;
-///  - canonical(state): brings a state into the form that stands for all that differ from it by names only;
-///  - Names, firstNames(), describe(names, step) and renamed(names, stateBefore): for the text of trails.
+///  - State: plain data without padding; violates(const State&): whether it violates an invariant;
+///  - Step: plain data; forEachStep(state, visit): calls visit(step, nextState) for each enabled step;
+///  - canonicalize(state): replaces a state by the representative of all states that are equal up to names;
+///  - Names, initialNames(), describe(names, step, stateBefore) and renamed(names, stateBefore): for traces.
 template <class Model>
 class StateSearch {
  public:
   using State = typename Model::State;
   using Step = typename Model::Step;
 
-  StateSearch(const Model& model, unsigned depth, std::uint64_t mostStates)
-      : model_(model), depth_(depth), mostStates_(mostStates) {}
+  StateSearch(const Model& model, unsigned depth, std::uint64_t maxStates)
+      : model_(model), depth_(depth), maxStates_(maxStates) {}
 
   SearchResult run(const State& first) {
-    first_ = first;
-    State begin = first;
-    model_.canonical(begin);
-    isNew(begin);
+    initial_ = first;
+    State initial = first;
+    model_.canonicalize(initial);
+    markVisited(initial);
     nodes_.push_back({0, {}});
-    std::vector<std::pair<State, std::uint32_t>> frontier{{begin, 0}};
+    std::vector<std::pair<State, std::uint32_t>> frontier{{initial, 0}};
     SearchResult result;
     while (!frontier.empty() && result.depth < depth_) {
       std::vector<std::pair<State, std::uint32_t>> next;
@@ -53,13 +52,13 @@
         if (!expand(state, node, next)) continue;
         result.depth += 1;
         result.states = nodes_.size();
-        result.trail = trail();
+        result.trace = trace();
         return result;
       }
       ++result.depth;
       frontier = std::move(next);
-      if (nodes_.size() > mostStates_) {
-        result.full = true;
+      if (nodes_.size() > maxStates_) {
+        result.stateLimitReached = true;
         break;
       }
     }
@@ -71,45 +70,45 @@
  private:
   struct Node {
     std::uint32_t parent;
-    Step step;  // from the parent's canonical form
+    Step step;  // relative to the parent's canonical form
   };
 
-  bool isNew(const State& state) {
-    static_assert(std::has_unique_object_representations_v<State>, "a state is told apart by its bytes");
-    return seen_.insert(XXH3_64bits(&state, sizeof(State))).second;
+  bool markVisited(const State& state) {
+    static_assert(std::has_unique_object_representations_v<State>, "states are hashed by their bytes");
+    return visited_.insert(XXH3_64bits(&state, sizeof(State))).second;
   }
 
-  /// Whether one of the states that follow breaks the rule; it is then the last node.
+  /// Adds the unvisited successors of a state. Returns true if the last one added violates an invariant.
   bool expand(const State& state, std::uint32_t node, std::vector<std::pair<State, std::uint32_t>>& next) {
-    bool broken = false;
-    model_.forEachStep(state, [&](const Step& step, State& follows) {
-      if (broken) return;
-      broken = model_.broken(follows);
-      model_.canonical(follows);
-      if (!isNew(follows) && !broken) return;
+    bool violation = false;
+    model_.forEachStep(state, [&](const Step& step, State& successor) {
+      if (violation) return;
+      violation = model_.violates(successor);
+      model_.canonicalize(successor);
+      if (!markVisited(successor) && !violation) return;
       nodes_.push_back({node, step});
-      next.emplace_back(follows, static_cast<std::uint32_t>(nodes_.size() - 1));
+      next.emplace_back(successor, static_cast<std::uint32_t>(nodes_.size() - 1));
     });
-    return broken;
+    return violation;
   }
 
-  /// The steps to the last node, with the names that the first state has.
-  std::vector<std::string> trail() const {
+  /// Describes the steps to the last node with the names of the initial state.
+  std::vector<std::string> trace() const {
     std::vector<Step> steps;
     for (std::size_t at = nodes_.size() - 1; at != 0; at = nodes_[at].parent)
       steps.insert(steps.begin(), nodes_[at].step);
     std::vector<std::string> lines;
-    State state = first_;
-    typename Model::Names names = model_.renamed(model_.firstNames(), state);
-    model_.canonical(state);
+    State state = initial_;
+    typename Model::Names names = model_.renamed(model_.initialNames(), state);
+    model_.canonicalize(state);
     for (const Step& wanted : steps) {
       lines.push_back(model_.describe(names, wanted, state));
       State after = state;
-      model_.forEachStep(state, [&](const Step& step, State& follows) {
-        if (step == wanted) after = follows;
+      model_.forEachStep(state, [&](const Step& step, State& successor) {
+        if (step == wanted) after = successor;
       });
       names = model_.renamed(names, after);
-      model_.canonical(after);
+      model_.canonicalize(after);
       state = after;
     }
     return lines;
@@ -117,10 +116,10 @@
 
   const Model& model_;
   unsigned depth_;
-  std::uint64_t mostStates_;
-  State first_{};
+  std::uint64_t maxStates_;
+  State initial_{};
   std::vector<Node> nodes_;
-  std::unordered_set<std::uint64_t> seen_;
+  std::unordered_set<std::uint64_t> visited_;
 };
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/voter_set_explorer.cpp
+++ b/src/lab/mesh/voter_set_explorer.cpp
@@ -20,12 +20,12 @@
  public:
   using State = ModelState;
   using Step = ModelStep;
-  using Names = Order;
+  using Names = Renumbering;
 
   explicit Model(const VoterSetSearch& search)
       : search_(search), flaw_(search.flaw), quorum_(search.voters / 2 + 1) {}
 
-  State first() const {
+  State initialState() const {
     State state;
     Set& set = state.sets[1];
     for (std::size_t p = 0; p < search_.voters; ++p) {
@@ -35,22 +35,22 @@
     }
     for (std::size_t p = 0; p < search_.voters + search_.standbys; ++p) state.processes[p].exists = 1;
     set.previousSize = static_cast<std::uint8_t>(search_.voters);
-    for (std::size_t c = search_.claimers; c < kClaimers; ++c) state.claimers[c] = {Work::over, 0, 0};
-    for (std::size_t c = 0; c < search_.claimers; ++c) ask(state, c);
-    for (std::size_t p = 0; search_.won && p < quorum_; ++p) voteAtBeginning(state, p, 1);
-    if (search_.wonUnheard) winUnheard(state);
+    for (std::size_t c = search_.claimers; c < kClaimers; ++c) state.claimers[c] = {ClaimState::ended, 0, 0};
+    for (std::size_t c = 0; c < search_.claimers; ++c) sendClaim(state, c);
+    for (std::size_t p = 0; search_.won && p < quorum_; ++p) grantInitialVote(state, p, 1);
+    if (search_.wonWithStaleVoter) grantFirstClaimInSecondEpoch(state);
     return state;
   }
 
-  bool broken(const State& state) const {
-    if (search_.wonInEpoch != 0) {
+  bool violates(const State& state) const {
+    if (search_.targetWonInEpoch != 0) {
       return std::any_of(state.claimers.begin(), state.claimers.end(), [&](const Claimer& claimer) {
-        return claimer.work == Work::won && claimer.epoch == search_.wonInEpoch;
+        return claimer.state == ClaimState::won && claimer.epoch == search_.targetWonInEpoch;
       });
     }
     std::size_t running = 0;
     for (const Claimer& claimer : state.claimers)
-      running += claimer.work == Work::won || claimer.work == Work::freedButMayRun;
+      running += claimer.state == ClaimState::won || claimer.state == ClaimState::releasedMayStillRun;
     return running > 1;
   }
 
@@ -70,8 +70,8 @@
     changeSteps(state, step);
   }
 
-  static void canonical(State& state) { voter_set_model::canonical(state); }
-  static Names firstNames() { return voter_set_model::firstNames(); }
+  static void canonicalize(State& state) { voter_set_model::canonicalize(state); }
+  static Names initialNames() { return voter_set_model::initialNames(); }
   static Names renamed(const Names& names, const State& before) {
     return voter_set_model::renamed(names, before);
   }
@@ -80,40 +80,40 @@
   }
 
  private:
-  bool writesApart() const { return search_.powerLosses > 0; }
+  bool writesAreSteps() const { return search_.powerLosses > 0; }
 
   static bool isVoter(const State& state, std::size_t p, std::size_t epoch) {
     const Set& set = state.sets[epoch];
     return has(set.voters, p) && set.incarnation[p] == state.processes[p].incarnation;
   }
 
-  /// Its claim is on its way to all voters of the set that it counts in.
-  void ask(State& state, std::size_t c) const {
+  /// Sends the claim to all voters of the claimer's set.
+  void sendClaim(State& state, std::size_t c) const {
     const Claimer& claimer = state.claimers[c];
     for (std::size_t p = 0; p < kProcesses; ++p) {
       if (has(state.sets[claimer.epoch].voters, p)) add(state.processes[p].inFlight[c], bit(claimer.epoch));
     }
   }
 
-  /// A session ended: what was on its way is lost, and open claims without this one's vote are told anew.
-  static void askAgain(State& state, std::size_t p) {
+  /// Ends the sessions of a process: messages in flight to it are lost; claims without its vote are resent.
+  static void resendClaims(State& state, std::size_t p) {
     for (std::size_t c = 0; c < kClaimers; ++c) {
       const Claimer& claimer = state.claimers[c];
-      const bool asks = claimer.work == Work::claiming && !has(claimer.votes, p) &&
-                        has(state.sets[claimer.epoch].voters, p);
-      state.processes[p].inFlight[c] = asks ? bit(claimer.epoch) : Bits{0};
+      const bool resend = claimer.state == ClaimState::claiming && !has(claimer.votes, p) &&
+                          has(state.sets[claimer.epoch].voters, p);
+      state.processes[p].inFlight[c] = resend ? bit(claimer.epoch) : Bits{0};
     }
   }
 
-  void voteAtBeginning(State& state, std::size_t p, std::size_t epoch) const {
+  void grantInitialVote(State& state, std::size_t p, std::size_t epoch) const {
     state.processes[p].promised = state.processes[p].onDisk = bit(0);
     state.processes[p].inFlight[0] = 0;
     count(state, p, 0, epoch);
   }
 
-  /// The first standby took the place of the first voter, which has not heard of it yet; all others have, and
-  /// as many of them as make a majority gave the first claimer their votes in that epoch.
-  void winUnheard(State& state) const {
+  /// The first standby has replaced the first voter, which has not learned of it. All others have adopted the
+  /// new set, and a majority of them have voted for the first claimer in that epoch.
+  void grantFirstClaimInSecondEpoch(State& state) const {
     const std::size_t joiner = search_.voters;
     const VoterSet set = voterSetOf(state.sets[1], 1);
     state.sets[2] = packed(withReplacement(set, identityOf(state, 0), identityOf(state, joiner)));
@@ -123,15 +123,15 @@
       state.processes[p].holdsState = 1;
     }
     learn(state, 0, 2);
-    for (std::size_t p = joiner; p > joiner - quorum_; --p) voteAtBeginning(state, p, 2);
+    for (std::size_t p = joiner; p > joiner - quorum_; --p) grantInitialVote(state, p, 2);
   }
 
-  /// The set in which a claimer counts.
-  VoterSet electorateOf(const State& state, std::size_t c) const {
+  /// The set whose votes a claimer counts.
+  VoterSet countingSetOf(const State& state, std::size_t c) const {
     const Claimer& claimer = state.claimers[c];
     VoterSet set = voterSetOf(state.sets[claimer.epoch], claimer.epoch);
     if (flaw_ == Flaw::setsWithoutOverlap) {
-      // Whoever votes counts towards a majority of the founders' number.
+      // Any votes count towards a majority of the size of the first set.
       std::stable_partition(set.voters.begin(), set.voters.end(),
                             [&](const VoterId& voter) { return has(claimer.votes, processOf(voter)); });
       set.voters.resize(search_.voters);
@@ -139,77 +139,77 @@
     return set;
   }
 
-  /// A vote of that epoch arrives; the claims' own class says whether it counts and the claim is won.
+  /// Delivers a vote of an epoch to a claimer; Claims decides whether it counts and wins the claim.
   void count(State& state, std::size_t p, std::size_t c, std::size_t epoch) const {
     Claimer& claimer = state.claimers[c];
-    if (claimer.work != Work::claiming) return;
+    if (claimer.state != ClaimState::claiming) return;
     const Bits before = claimer.votes;
     const VoterId voter = voterId(p, state.processes[p].incarnation);
     if (flaw_ == Flaw::setsWithoutOverlap) add(claimer.votes, bit(p));
-    const VoterSet set = electorateOf(state, c);
+    const VoterSet set = countingSetOf(state, c);
     Claims claims;
     claims.setVoters(set);
-    const ClaimNo no = claims.open(kNow, theKey(), kNow + 1s);
+    const ClaimNo no = claims.open(kNow, claimedKey(), kNow + 1s);
     for (const VoterId& earlier : set.voters) {
       if (has(before, processOf(earlier))) claims.vote(earlier, set.epoch, no, true, std::nullopt);
     }
     const auto ended = claims.vote(voter, {epoch}, no, true, std::nullopt);
     if (ended && ended->won) {
-      claimer.work = Work::won;
-      leaveNothingInFlight(state, c);
-      if (search_.wonInEpoch != 0) claimer.epoch = static_cast<std::uint8_t>(epoch);
+      claimer.state = ClaimState::won;
+      clearInFlight(state, c);
+      if (search_.targetWonInEpoch != 0) claimer.epoch = static_cast<std::uint8_t>(epoch);
     } else if (claims.openWithoutVoteOf(voter).empty()) {
       add(claimer.votes, bit(p));
     }
   }
 
-  /// A claimer learns a newer set; the claims' own class says which votes it still counts.
+  /// Delivers a newer set to a claimer; Claims decides which votes it still counts.
   void learn(State& state, std::size_t c, std::size_t epoch) const {
     Claimer& claimer = state.claimers[c];
-    const VoterSet before = electorateOf(state, c);
+    const VoterSet before = countingSetOf(state, c);
     const VoterSet after = voterSetOf(state.sets[epoch], epoch);
     Claims claims;
     claims.setVoters(before);
-    const ClaimNo no = claims.open(kNow, theKey(), kNow + 1s);
+    const ClaimNo no = claims.open(kNow, claimedKey(), kNow + 1s);
     for (const VoterId& voter : before.voters) {
       if (has(claimer.votes, processOf(voter))) claims.vote(voter, before.epoch, no, true, std::nullopt);
     }
     claims.setVoters(after);
-    Bits kept = 0;
+    Bits counted = 0;
     for (const VoterId& voter : after.voters) {
-      const bool mixed = flaw_ == Flaw::epochsMixed && before.find(voter.at) != nullptr;
-      if (claims.openWithoutVoteOf(voter).empty() || (mixed && has(claimer.votes, processOf(voter))))
-        add(kept, bit(processOf(voter)));
+      const bool reuses = flaw_ == Flaw::mixesEpochs && before.find(voter.at) != nullptr;
+      if (claims.openWithoutVoteOf(voter).empty() || (reuses && has(claimer.votes, processOf(voter))))
+        add(counted, bit(processOf(voter)));
     }
     claimer.epoch = static_cast<std::uint8_t>(epoch);
-    claimer.votes = kept;
-    ask(state, c);
+    claimer.votes = counted;
+    sendClaim(state, c);
   }
 
-  /// Of a claim that has ended nothing is told but its release. Claims that are still on their way could only
-  /// add promises to those that stand.
-  static void leaveNothingInFlight(State& state, std::size_t c) {
+  /// Drops the claims in flight and the pending votes of a claim that has ended. Delivering them could only
+  /// add promises to the existing ones.
+  static void clearInFlight(State& state, std::size_t c) {
     state.claimers[c].epoch = 0;
     state.claimers[c].votes = 0;
     for (Process& process : state.processes) {
       process.inFlight[c] = 0;
-      remove(process.owedVotes, bit(c));
+      remove(process.pendingVotes, bit(c));
     }
   }
 
   void release(State& state, std::size_t c) const {
-    leaveNothingInFlight(state, c);
-    // Whoever neither holds the promise nor will read it has nothing to release.
+    clearInFlight(state, c);
+    // Processes that neither hold the promise nor may read it have nothing to release.
     for (Process& process : state.processes) {
       if (has(process.promised, c) || has(process.onDisk, c) || (process.epoch > 0 && !process.holdsState))
         process.inFlight[c] = kRelease;
     }
   }
 
-  template <class Take>
-  void claimerSteps(const State& state, std::size_t c, Take&& step) const {
+  template <class AddStep>
+  void claimerSteps(const State& state, std::size_t c, AddStep&& step) const {
     const Claimer& claimer = state.claimers[c];
-    if (claimer.work == Work::claiming) {
+    if (claimer.state == ClaimState::claiming) {
       for (std::size_t e = claimer.epoch + 1U; e <= state.newest; ++e) {
         step(Kind::learns, c, e, [&](State& next) {
           learn(next, c, e);
@@ -217,24 +217,25 @@
         });
       }
     }
-    if (claimer.work == Work::claiming && search_.releases) {
-      step(Kind::givesUp, c, 0, [&](State& next) {
-        next.claimers[c].work = Work::over;
+    if (claimer.state == ClaimState::claiming && search_.releases) {
+      step(Kind::abandons, c, 0, [&](State& next) {
+        next.claimers[c].state = ClaimState::ended;
         release(next, c);
         return true;
       });
     }
-    if (claimer.work == Work::won && (search_.releases || flaw_ == Flaw::freedTooEarly)) {
-      step(Kind::givesBack, c, 0, [&](State& next) {
-        next.claimers[c].work = flaw_ == Flaw::freedTooEarly ? Work::freedButMayRun : Work::over;
+    if (claimer.state == ClaimState::won && (search_.releases || flaw_ == Flaw::releasedTooEarly)) {
+      step(Kind::releasesWon, c, 0, [&](State& next) {
+        next.claimers[c].state =
+            flaw_ == Flaw::releasedTooEarly ? ClaimState::releasedMayStillRun : ClaimState::ended;
         release(next, c);
         return true;
       });
     }
   }
 
-  template <class Take>
-  void processSteps(const State& state, std::size_t p, Take&& step) const {
+  template <class AddStep>
+  void processSteps(const State& state, std::size_t p, AddStep&& step) const {
     const Process& process = state.processes[p];
     for (std::size_t c = 0; c < kClaimers; ++c) {
       for (std::size_t e = 1; e <= process.epoch; ++e) {
@@ -246,24 +247,24 @@
           Process& voter = next.processes[p];
           voter.inFlight[c] = 0;
           Promises promises = promisesOf(voter.promised);
-          if (promises.release(theKey(), holderOf(c)))
-            voter.promised = flaw_ == Flaw::releaseFreesKey ? Bits{0} : bitsOf(promises);
-          if (!writesApart()) voter.onDisk = voter.promised;
+          if (promises.release(claimedKey(), holderOf(c)))
+            voter.promised = flaw_ == Flaw::releaseDropsAllHolders ? Bits{0} : bitsOf(promises);
+          if (!writesAreSteps()) voter.onDisk = voter.promised;
           return true;
         });
       }
     }
-    const bool dirty =
-        process.promised != process.onDisk || process.owedVotes != 0 || process.epoch != process.epochOnDisk;
+    const bool dirty = process.promised != process.onDisk || process.pendingVotes != 0 ||
+                       process.epoch != process.epochOnDisk;
     const bool isReading = process.epoch > 0 && !process.holdsState;
-    if (writesApart() && dirty) {
+    if (writesAreSteps() && dirty) {
       step(Kind::syncs, p, 0, [&](State& next) {
         Process& voter = next.processes[p];
         voter.onDisk = voter.promised;
         voter.epochOnDisk = voter.epoch;
-        const Bits owed = std::exchange(voter.owedVotes, Bits{0});
+        const Bits pending = std::exchange(voter.pendingVotes, Bits{0});
         for (std::size_t c = 0; c < kClaimers; ++c) {
-          if (has(owed, c)) count(next, p, c, voter.epoch);
+          if (has(pending, c)) count(next, p, c, voter.epoch);
         }
         return true;
       });
@@ -273,18 +274,18 @@
         Process& voter = next.processes[p];
         ++next.powerLosses;
         voter.promised = voter.onDisk;
-        voter.owedVotes = 0;
+        voter.pendingVotes = 0;
         voter.epoch = voter.epochOnDisk;
-        voter.readFrom = 0;  // what it had read is lost, too
-        if (flaw_ == Flaw::restartForgetsReading) voter.holdsState = 1;
-        askAgain(next, p);
+        voter.readFrom = 0;  // state that was read is kept in memory only
+        if (flaw_ == Flaw::restartSkipsReading) voter.holdsState = 1;
+        resendClaims(next, p);
         return true;
       });
     }
     if (state.wipes < search_.wipes && process.epoch > 0 && isVoter(state, p, state.newest)) {
       step(Kind::wiped, p, 0, [&](State& next) {
         ++next.wipes;
-        wipe(next, p);
+        loseDisk(next, p);
         return true;
       });
     }
@@ -297,44 +298,45 @@
     return process.holdsState || flaw_ == Flaw::votesBeforeReading;
   }
 
-  /// A claim reaches a voter of its epoch. False: the key has another holder.
+  /// Delivers a claim to a voter. Returns false if the key has another holder.
   bool vote(State& state, std::size_t p, std::size_t c, std::size_t epoch) const {
     Process& voter = state.processes[p];
     Promises promises = promisesOf(voter.promised);
-    if (promises.claim(kNow, theKey(), holderOf(c)) != holderOf(c)) return false;
+    if (promises.claim(kNow, claimedKey(), holderOf(c)) != holderOf(c)) return false;
     voter.promised = bitsOf(promises);
-    remove(voter.inFlight[c], static_cast<Bits>((2U << epoch) - 1U));  // earlier ones came before it
-    if (!writesApart()) voter.onDisk = voter.promised;
-    if (!writesApart() || flaw_ == Flaw::voteBeforeSync) {
+    // Claims of earlier epochs precede this one in the session.
+    remove(voter.inFlight[c], static_cast<Bits>((2U << epoch) - 1U));
+    if (!writesAreSteps()) voter.onDisk = voter.promised;
+    if (!writesAreSteps() || flaw_ == Flaw::voteBeforeSync) {
       count(state, p, c, epoch);
     } else {
-      add(voter.owedVotes, bit(c));
+      add(voter.pendingVotes, bit(c));
     }
     return true;
   }
 
-  void wipe(State& state, std::size_t p) const {
+  void loseDisk(State& state, std::size_t p) const {
     Process& process = state.processes[p];
     const Process before = process;
     process = {};
     process.exists = 1;
     process.incarnation = before.incarnation;
-    if (flaw_ == Flaw::incarnationsMixed) {
-      process.epoch = process.epochOnDisk = before.epoch;  // and it reads, and votes, as who it was
+    if (flaw_ == Flaw::reusesIncarnation) {
+      process.epoch = process.epochOnDisk = before.epoch;
     } else {
       ++process.incarnation;
     }
-    askAgain(state, p);
+    resendClaims(state, p);
   }
 
-  template <class Take>
-  void recoverySteps(const State& state, std::size_t p, Take&& step) const {
+  template <class AddStep>
+  void recoverySteps(const State& state, std::size_t p, AddStep&& step) const {
     const Process& reader = state.processes[p];
     for (std::size_t e = reader.epoch + 1U; e <= state.newest; ++e) {
       const bool stays = isVoter(state, p, e);
       if (!stays && !(search_.rejoins && isVoter(state, p, reader.epoch))) continue;
       step(Kind::adopts, p, e, [&](State& next) {
-        stays ? adopt(next, p, e) : putOut(next, p, e);
+        stays ? adopt(next, p, e) : removeFromSet(next, p, e);
         return true;
       });
     }
@@ -348,32 +350,32 @@
   void adopt(State& state, std::size_t p, std::size_t epoch) const {
     Process& process = state.processes[p];
     const bool skips = process.epoch != 0 && process.epoch + 1U < epoch;
-    const bool held = process.holdsState;
+    const bool heldState = process.holdsState;
     process.epoch = static_cast<std::uint8_t>(epoch);
     if (flaw_ != Flaw::fenceBeforeSync) process.epochOnDisk = process.epoch;
-    process.owedVotes = 0;  // told late they would be of an epoch in which it votes no more
-    process.heldBefore = 0;
+    process.pendingVotes = 0;  // they belong to an earlier epoch
+    process.heldStateBefore = 0;
     process.readFrom = 0;
     const Set& set = state.sets[epoch];
     const bool shrank = size(set.voters) < set.previousSize;
     bool reads = has(set.readers, p);
-    if (shrank && flaw_ == Flaw::shrinksWithoutReading) reads = false;
-    // Guards against a process that was put out and joined again in sets that it never heard of.
-    if (skips && flaw_ != Flaw::skipsEpochsUnread) reads = true;
+    if (shrank && flaw_ == Flaw::removalSkipsReading) reads = false;
+    // The process may have been removed and added again in the sets that it skipped.
+    if (skips && flaw_ != Flaw::skippedEpochsSkipReading) reads = true;
     if (!reads) return;
     process.holdsState = 0;
-    process.heldBefore = shrank && held && !skips;
+    process.heldStateBefore = shrank && heldState && !skips;
   }
 
-  /// It learns that it was put out: it forgets what it promised, and may join under another incarnation.
-  void putOut(State& state, std::size_t p, std::size_t epoch) const {
+  /// The process learns that it was removed: it drops its promises and gets a new incarnation.
+  void removeFromSet(State& state, std::size_t p, std::size_t epoch) const {
     Process& process = state.processes[p];
     const std::uint8_t incarnation = process.incarnation;
     process = {};
     process.exists = 1;
     process.incarnation = static_cast<std::uint8_t>(incarnation + 1);
     process.epoch = process.epochOnDisk = static_cast<std::uint8_t>(epoch);
-    askAgain(state, p);
+    resendClaims(state, p);
   }
 
   bool readable(const State& state, std::size_t p, std::size_t other) const {
@@ -381,8 +383,8 @@
     const Process& from = state.processes[other];
     if (!isVoter(state, other, reader.epoch)) return false;
     if (from.epoch < reader.epoch && flaw_ != Flaw::readsBeforeFence) return false;
-    if (flaw_ == Flaw::readsFromUnread) return true;
-    return from.holdsState || from.heldBefore;
+    if (flaw_ == Flaw::readsFromIncompleteVoter) return true;
+    return from.holdsState || from.heldStateBefore;
   }
 
   bool read(State& state, std::size_t p, std::size_t other) const {
@@ -391,30 +393,30 @@
     for (std::size_t c = 0; c < kClaimers; ++c) {
       if (!has(state.processes[other].promised, c)) continue;
       if (flaw_ == Flaw::firstHolderOnly && !promises.all().empty()) continue;
-      promises.learn(kNow, theKey(), holderOf(c));
+      promises.learn(kNow, claimedKey(), holderOf(c));
     }
     reader.promised = bitsOf(promises);
     add(reader.readFrom, bit(other));
-    const std::size_t own = reader.heldBefore ? 1 : 0;
+    const std::size_t own = reader.heldStateBefore ? 1 : 0;
     const VoterSet set = voterSetOf(state.sets[reader.epoch], reader.epoch);
     if (size(reader.readFrom) + own >= set.readQuorum()) {
       reader.holdsState = 1;
-      reader.heldBefore = 0;
+      reader.heldStateBefore = 0;
       reader.readFrom = 0;
       reader.onDisk = reader.promised;
     }
     return true;
   }
 
-  template <class Take>
-  void changeSteps(const State& state, Take&& step) const {
+  template <class AddStep>
+  void changeSteps(const State& state, AddStep&& step) const {
     if (flaw_ == Flaw::setsWithoutOverlap) {
       for (std::size_t p = 0; p < kProcesses; ++p) {
         if (state.processes[p].exists && !has(state.sets[1].voters, p)) {
-          step(Kind::joinsBeside, p, 0, [&](State& next) {
+          step(Kind::joinsWithoutEpoch, p, 0, [&](State& next) {
             add(next.sets[1].voters, bit(p));
             next.processes[p].epoch = next.processes[p].epochOnDisk = 1;
-            askAgain(next, p);
+            resendClaims(next, p);
             return true;
           });
         }
@@ -422,11 +424,11 @@
     }
     if (state.newest > search_.changes || !canDecide(state)) return;
     const VoterSet set = voterSetOf(state.sets[state.newest], state.newest);
-    const auto decide = [&](Kind kind, std::size_t a, std::size_t b, const VoterSet& follows) {
+    const auto decide = [&](Kind kind, std::size_t a, std::size_t b, const VoterSet& successor) {
       step(kind, a, b, [&](State& next) {
-        if (!isSingleStep(set, follows)) return false;
+        if (!isSingleStep(set, successor)) return false;
         ++next.newest;
-        next.sets[next.newest] = packed(follows);
+        next.sets[next.newest] = packed(successor);
         return true;
       });
     };
@@ -438,7 +440,7 @@
         if ((lost || search_.silentReplaced) && isStandby(state, q))
           decide(Kind::replaces, q, p, withReplacement(set, voter, identityOf(state, q)));
       }
-      if (search_.removals && set.voters.size() > kFewestVoters)
+      if (search_.removals && set.voters.size() > kMinVoters)
         decide(Kind::leaves, p, p, withoutVoter(set, voter));
     }
     for (std::size_t q = 0; q < kProcesses; ++q) {
@@ -453,17 +455,17 @@
 
   bool isStandby(const State& state, std::size_t p) const {
     if (!state.processes[p].exists || has(state.sets[state.newest].voters, p)) return false;
-    const auto was = [&](const Set& set) { return has(set.voters, p); };
-    return search_.rejoins || std::none_of(state.sets.begin(), state.sets.end(), was);
+    const auto wasVoter = [&](const Set& set) { return has(set.voters, p); };
+    return search_.rejoins || std::none_of(state.sets.begin(), state.sets.end(), wasVoter);
   }
 
   bool canDecide(const State& state) const {
-    std::size_t able = 0;
+    std::size_t voting = 0;
     for (std::size_t p = 0; p < kProcesses; ++p) {
       const Process& process = state.processes[p];
-      able += process.epoch == state.newest && isVoter(state, p, state.newest) && process.holdsState;
+      voting += process.epoch == state.newest && isVoter(state, p, state.newest) && process.holdsState;
     }
-    return able > size(state.sets[state.newest].voters) / 2;
+    return voting > size(state.sets[state.newest].voters) / 2;
   }
 
   VoterSetSearch search_;
@@ -475,7 +477,7 @@
 
 SearchResult explore(const VoterSetSearch& search) {
   const Model model(search);
-  return StateSearch<Model>(model, search.depth, search.mostStates).run(model.first());
+  return StateSearch<Model>(model, search.depth, search.maxStates).run(model.initialState());
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/voter_set_explorer.hpp
+++ b/src/lab/mesh/voter_set_explorer.hpp
@@ -1,14 +1,13 @@
 #pragma once
 
-// Every order of what may happen to the claims on one key while disks are lost and the set of voters changes:
-// claims and releases that arrive early, late or never, disks that fail, sets that are agreed on and adopted
-// by each process at any time, voters that read the state of others. The votes, promises and sets are counted
-// by the mesh's own classes; the agreement on a set is one step here (agreement_explorer.hpp looks into it).
+// Bounded model checker of the claims on one key while disks are lost and the voter set changes: claims and
+// releases arrive at any time or never, disks fail, each process adopts an agreed voter set at any time, and
+// voters read the state of other voters. Votes, promises and voter sets are the production classes. The
+// agreement on a voter set is a single step; agreement_explorer.hpp covers that protocol.
 //
-// A claim's arrival, the vote and its arrival are one step. That hides no run in which a key runs twice: a
-// vote that is told late or lost does no more than a claim that arrives late. A refusal is no step either: it
-// leaves the state as a claim that is still on its way does. Voters and claimers are alike, so that states
-// which differ only by who is who count as one.
+// The delivery of a claim, the vote and its delivery are one step. This hides no violation: a late or lost
+// vote has the same effect as a late claim. A refusal is no step, as it changes no state. Voters and claimers
+// are symmetric: states that differ only in their numbering are treated as one.
 
 #include <cstdint>
 
@@ -16,50 +15,50 @@
 
 namespace rackroute::lab::mesh {
 
-/// A copy of the protocol that is broken on purpose, to see that the explorer finds it.
+/// A deliberate defect of the protocol that the checker must detect.
 enum class VoterSetFlaw {
   none,
-  voteBeforeSync,         // a vote is told before its promise is on disk
-  freedTooEarly,          // a claim is given back though its request may be on its way to the server
-  incarnationsMixed,      // a voter that lost its disk reads, and votes on in the same set as who it was
-  setsWithoutOverlap,     // a voter joins beside the others, and the quorum stays as it was
-  firstHolderOnly,        // of the claims that hold a key, a reader keeps only the first it learns of
-  releaseFreesKey,        // once one of the claims that hold a key is released, the key is free
-  readsBeforeFence,       // a reader counts the state of voters that still vote in the epoch before
-  epochsMixed,            // a claimer goes on counting the votes that addresses gave in an earlier epoch
-  votesInPastEpochs,      // a voter that adopted a set still votes for claims of the sets before
-  votesBeforeReading,     // a voter that joined votes before it has read
-  readsFromUnread,        // a reader counts the state of a voter that has itself not read yet
-  shrinksWithoutReading,  // after a voter was removed the others vote on at once
-  skipsEpochsUnread,      // a voter that missed a set votes in the next one though it has not read
-  fenceBeforeSync,        // a voter acts on a set that it adopted before it has written it
-  restartForgetsReading,  // a voter that restarts while it reads votes on without
+  voteBeforeSync,            // a vote is sent before its promise is on disk
+  releasedTooEarly,          // a claim is released while its request may still reach the server
+  reusesIncarnation,         // a voter that lost its disk keeps its incarnation and votes on after reading
+  setsWithoutOverlap,        // a voter joins the set without a change of epoch or quorum
+  firstHolderOnly,           // a reader keeps only the first of several claims that hold the key
+  releaseDropsAllHolders,    // the release of one holder drops the other holders of the key too
+  readsBeforeFence,          // a reader counts the state of voters that still vote in the previous epoch
+  mixesEpochs,               // a claimer keeps counting votes that an address gave in an earlier epoch
+  votesInPastEpochs,         // a voter that adopted a set still votes for claims of earlier sets
+  votesBeforeReading,        // a new voter votes before it has read the state of the others
+  readsFromIncompleteVoter,  // a reader counts the state of a voter that has not completed its own reads
+  removalSkipsReading,       // after the removal of a voter the others vote without reading
+  skippedEpochsSkipReading,  // a voter that missed a set votes in the next one without reading
+  fenceBeforeSync,           // a voter acts on an adopted set before it is on disk
+  restartSkipsReading,       // a voter that restarts while it reads votes without completing the reads
 };
 
 struct VoterSetSearch {
   VoterSetFlaw flaw = VoterSetFlaw::none;
   unsigned voters = 5;
-  unsigned standbys = 0;        // control processes at further addresses that may join
-  unsigned claimers = 2;        // 3 at most
-  unsigned wipes = 2;           // disks that may be lost
-  unsigned changes = 2;         // sets that may be agreed on after the first; 3 at most
-  unsigned powerLosses = 0;     // more than 0: a promise and its write are two steps
-  bool removals = false;        // sets may shrink
-  bool joins = false;           // sets may grow, by standbys
-  bool rejoins = false;         // whoever was put out may join again
-  bool releases = false;        // claimers may give up and give back
-  bool silentReplaced = false;  // a standby may take the place of a voter that is up, but slow
-  bool won = false;  // it begins where the first claimer has just won, with the first voters' votes
-  /// It begins where a standby has taken the place of a voter that has not heard of it, and the first claimer
-  /// has won in that second epoch. Wants a standby.
-  bool wonUnheard = false;
-  unsigned depth = 12;      // steps
-  unsigned wonInEpoch = 0;  // not 0: the trail wanted is one to a claim that is won in that epoch
-  std::uint64_t mostStates = 50'000'000;
+  unsigned standbys = 0;        // control processes outside the first set
+  unsigned claimers = 2;        // at most 3
+  unsigned wipes = 2;           // maximum number of disk losses
+  unsigned changes = 2;         // maximum number of set changes; at most 3
+  unsigned powerLosses = 0;     // maximum number; if not 0, a promise and its disk write are separate steps
+  bool removals = false;        // voters may be removed
+  bool joins = false;           // standbys may be added as voters
+  bool rejoins = false;         // removed voters may join again
+  bool releases = false;        // claimers may abandon and release claims
+  bool silentReplaced = false;  // a standby may replace a voter that is up but unresponsive
+  bool won = false;             // start with a claim of the first claimer that the first voters have granted
+  /// Start in the second epoch, in which a standby has replaced a voter that has not yet learned of it, and
+  /// the first claimer has won. Requires a standby.
+  bool wonWithStaleVoter = false;
+  unsigned depth = 12;            // maximum number of steps
+  unsigned targetWonInEpoch = 0;  // not 0: search for a state in which a claim is won in this epoch
+  std::uint64_t maxStates = 50'000'000;
 };
 
-/// The rule that states may break: two claims of one key are won, and neither was given back. Or, to see that
-/// a search reaches what it is meant to, that no claim is won in search.wonInEpoch.
+/// Searches for a state in which two claims on the key are won and neither is released, or, for coverage
+/// checks, one in which a claim is won in the epoch search.targetWonInEpoch.
 SearchResult explore(const VoterSetSearch& search);
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/voter_set_state.cpp
+++ b/src/lab/mesh/voter_set_state.cpp
@@ -7,7 +7,7 @@
 using namespace std::chrono_literals;
 using namespace rackroute::mesh;
 
-const KeyHash& theKey() {
+const KeyHash& claimedKey() {
   static const KeyHash key = hashOfKey("the key");
   return key;
 }
@@ -46,14 +46,14 @@
 Promises promisesOf(Bits promised) {
   Promises promises(60s);
   for (std::size_t c = 0; c < kClaimers; ++c) {
-    if (has(promised, c)) promises.learn(kNow, theKey(), holderOf(c));
+    if (has(promised, c)) promises.learn(kNow, claimedKey(), holderOf(c));
   }
   return promises;
 }
 
 Bits bitsOf(const Promises& promises) {
   Bits bits = 0;
-  for (const Holder& holder : promises.holders(theKey())) add(bits, bit(holder.no.value - 1));
+  for (const Holder& holder : promises.holders(claimedKey())) add(bits, bit(holder.no.value - 1));
   return bits;
 }
 
--- a/tests/explorer_test.cpp
+++ b/tests/explorer_test.cpp
@@ -1,29 +1,28 @@
-// The bounded model checkers of the protocols: the sound protocol keeps its rules in every order of events to
-// the stated depth, and each copy that is broken on purpose is found by the same search.
-
-#include "lab/mesh/explorer.hpp"
+// Bounded model checkers: the protocols keep their invariants up to the given depth, and a search with the
+// same bounds detects each deliberate defect.
 
 #include <catch2/catch.hpp>
 
 #include "lab/mesh/agreement_explorer.hpp"
+#include "lab/mesh/claim_explorer.hpp"
 #include "lab/mesh/voter_set_explorer.hpp"
 
 using namespace rackroute;
 
-TEST_CASE("no order of words and losses runs a key twice, and broken copies of the protocol do") {
+TEST_CASE("the claim checker finds no key that runs twice and detects each defect") {
+  using lab::mesh::ClaimFlaw;
   using lab::mesh::explore;
-  using lab::mesh::Flaw;
-  const auto sound = explore({Flaw::none, 3, 8, 1, 2});
-  CHECK(sound.states > 10'000);
-  CHECK_FALSE(sound.trail);
-  CHECK_FALSE(explore({Flaw::none, 3, 8, 1, 1, true}).trail);
-  // Each broken copy is found, where the sound one with the same search is not.
-  CHECK(explore({Flaw::voteBeforeSync, 3, 10, 0, 1, true}).trail);
-  CHECK_FALSE(explore({Flaw::none, 3, 10, 0, 1, true}).trail);
-  CHECK(explore({Flaw::blankVotes, 3, 11, 1, 0, true}).trail);
-  CHECK_FALSE(explore({Flaw::none, 3, 11, 1, 0, true}).trail);
-  CHECK(explore({Flaw::freedTooEarly, 3, 13, 0, 0, true}).trail);
-  CHECK_FALSE(explore({Flaw::none, 3, 13, 0, 0, true}).trail);
+  const auto correct = explore({ClaimFlaw::none, 3, 8, 1, 2});
+  CHECK(correct.states > 10'000);
+  CHECK_FALSE(correct.trace);
+  CHECK_FALSE(explore({ClaimFlaw::none, 3, 8, 1, 1, true}).trace);
+  // Each defect is detected by a search that passes without it.
+  CHECK(explore({ClaimFlaw::voteBeforeSync, 3, 10, 0, 1, true}).trace);
+  CHECK_FALSE(explore({ClaimFlaw::none, 3, 10, 0, 1, true}).trace);
+  CHECK(explore({ClaimFlaw::wipedVoterVotes, 3, 11, 1, 0, true}).trace);
+  CHECK_FALSE(explore({ClaimFlaw::none, 3, 11, 1, 0, true}).trace);
+  CHECK(explore({ClaimFlaw::releasedTooEarly, 3, 13, 0, 0, true}).trace);
+  CHECK_FALSE(explore({ClaimFlaw::none, 3, 13, 0, 0, true}).trace);
 }
 
 namespace {
@@ -31,7 +30,7 @@
 using lab::mesh::VoterSetFlaw;
 using lab::mesh::VoterSetSearch;
 
-/// Five voters, one lost disk, one change of the set; all states of the sound protocol within reach.
+/// Five voters, one disk loss, one change of the set; covers all reachable states of the correct protocol.
 VoterSetSearch oneReplacement() {
   VoterSetSearch search;
   search.wipes = 1;
@@ -40,8 +39,8 @@
   return search;
 }
 
-/// Three voters of which two gave the first of three claimers their votes; claims are given up and released.
-VoterSetSearch lostClaims() {
+/// Three voters, two of which have voted for the first of three claimers; claims are abandoned and released.
+VoterSetSearch abandonedClaims() {
   VoterSetSearch search = oneReplacement();
   search.voters = 3;
   search.claimers = 3;
@@ -50,15 +49,15 @@
   return search;
 }
 
-/// Three voters that may lose their power once.
-VoterSetSearch powerLost() {
+/// Three voters and one power loss.
+VoterSetSearch onePowerLoss() {
   VoterSetSearch search = oneReplacement();
   search.voters = 3;
   search.powerLosses = 1;
   return search;
 }
 
-VoterSetSearch oneJoins() {
+VoterSetSearch oneJoin() {
   VoterSetSearch search = oneReplacement();
   search.wipes = 0;
   search.standbys = 1;
@@ -66,14 +65,14 @@
   return search;
 }
 
-VoterSetSearch givenBack() {
+VoterSetSearch releasedClaims() {
   VoterSetSearch search = oneReplacement();
   search.voters = 3;
   search.releases = true;
   return search;
 }
 
-/// Two disks are lost after a claim was won.
+/// Two disk losses after a claim was won.
 VoterSetSearch twoReplacements() {
   VoterSetSearch search;
   search.won = true;
@@ -89,8 +88,8 @@
   return search;
 }
 
-/// A voter that was put out, and does not know it, joins again while the next set follows.
-VoterSetSearch returnsUnheard() {
+/// A replaced voter that has not learned of its removal joins again in a later set.
+VoterSetSearch staleVoterRejoins() {
   VoterSetSearch search;
   search.voters = 3;
   search.standbys = 1;
@@ -98,18 +97,18 @@
   search.changes = 3;
   search.silentReplaced = true;
   search.rejoins = true;
-  search.wonUnheard = true;
+  search.wonWithStaleVoter = true;
   search.depth = 9;
   return search;
 }
 
-/// The sound protocol is not broken within the search, and the copy with the flaw is.
-void checkFound(VoterSetSearch search, VoterSetFlaw flaw, std::size_t steps) {
-  CHECK_FALSE(explore(search).trail);
+/// Checks that the search finds a violation with the flaw, after that many steps, and none without it.
+void checkDetected(VoterSetSearch search, VoterSetFlaw flaw, std::size_t steps) {
+  CHECK_FALSE(explore(search).trace);
   search.flaw = flaw;
-  const auto broken = explore(search);
-  REQUIRE(broken.trail);
-  CHECK(broken.trail->size() == steps);
+  const auto flawed = explore(search);
+  REQUIRE(flawed.trace);
+  CHECK(flawed.trace->size() == steps);
 }
 
 using lab::mesh::AgreementFlaw;
@@ -121,106 +120,106 @@
   return search;
 }
 
-AgreementSearch ordersAndLostPower(unsigned depth) {
+AgreementSearch ordersWithPowerLoss(unsigned depth) {
   AgreementSearch search = orders(depth);
   search.restarts = 1;
   return search;
 }
 
-AgreementSearch ordersAndLostDisk(unsigned depth) {
+AgreementSearch ordersWithDiskLoss(unsigned depth) {
   AgreementSearch search = orders(depth);
   search.wipe = true;
   return search;
 }
 
-/// Likewise for orders.
-void checkFound(AgreementSearch search, AgreementFlaw flaw, std::size_t steps) {
-  CHECK_FALSE(explore(search).trail);
+/// Checks that the search finds a violation with the flaw, after that many steps, and none without it.
+void checkDetected(AgreementSearch search, AgreementFlaw flaw, std::size_t steps) {
+  CHECK_FALSE(explore(search).trace);
   search.flaw = flaw;
-  const auto broken = explore(search);
-  REQUIRE(broken.trail);
-  CHECK(broken.trail->size() == steps);
+  const auto flawed = explore(search);
+  REQUIRE(flawed.trace);
+  CHECK(flawed.trace->size() == steps);
 }
 
 }  // namespace
 
-TEST_CASE("no order of claims and changes of five voters within reach runs a key twice") {
+TEST_CASE("claims and set changes with five voters never run a key twice") {
   const auto all = explore(oneReplacement());
-  CHECK_FALSE(all.trail);
+  CHECK_FALSE(all.trace);
   CHECK(all.exhausted);
   CHECK(all.states > 5'000);
   VoterSetSearch two;
   two.depth = 14;
   const auto deep = explore(two);
-  CHECK_FALSE(deep.trail);
+  CHECK_FALSE(deep.trace);
   CHECK(deep.states > 50'000);
-  // What it looks into is not idle: claims are won after two disks were lost and replaced.
-  two.wonInEpoch = 3;
-  CHECK(explore(two).trail);
+  // Coverage: the search reaches claims that are won after two replacements.
+  two.targetWonInEpoch = 3;
+  CHECK(explore(two).trace);
 }
 
-TEST_CASE("a voter that loses its disk and votes on as who it was lets a key run twice") {
-  // It reads from a majority before a claim that has its earlier vote reaches one of these.
-  checkFound(oneReplacement(), VoterSetFlaw::incarnationsMixed, 10);
+TEST_CASE("a voter that keeps its incarnation after a disk loss lets a key run twice") {
+  // It reads from a majority before a claim that already has its earlier vote reaches any of these voters.
+  checkDetected(oneReplacement(), VoterSetFlaw::reusesIncarnation, 10);
 }
 
-TEST_CASE("a voter that joins beside the others under the same quorum lets a key run twice") {
-  checkFound(oneJoins(), VoterSetFlaw::setsWithoutOverlap, 10);
+TEST_CASE("a voter that joins without a change of quorum lets a key run twice") {
+  checkDetected(oneJoin(), VoterSetFlaw::setsWithoutOverlap, 10);
 }
 
-TEST_CASE("a voter that loses one of a key's holders lets the key run twice") {
-  checkFound(lostClaims(), VoterSetFlaw::firstHolderOnly, 10);
-  checkFound(lostClaims(), VoterSetFlaw::releaseFreesKey, 14);
+TEST_CASE("a voter that drops one of a key's holders lets the key run twice") {
+  checkDetected(abandonedClaims(), VoterSetFlaw::firstHolderOnly, 10);
+  checkDetected(abandonedClaims(), VoterSetFlaw::releaseDropsAllHolders, 14);
 }
 
-TEST_CASE("votes that are counted outside their epoch let a key run twice") {
-  checkFound(oneReplacement(), VoterSetFlaw::epochsMixed, 17);
-  checkFound(oneReplacement(), VoterSetFlaw::votesInPastEpochs, 16);
+TEST_CASE("votes counted outside their epoch let a key run twice") {
+  checkDetected(oneReplacement(), VoterSetFlaw::mixesEpochs, 17);
+  checkDetected(oneReplacement(), VoterSetFlaw::votesInPastEpochs, 16);
 }
 
-TEST_CASE("a voter that has not read what it must lets a key run twice") {
-  checkFound(oneReplacement(), VoterSetFlaw::readsBeforeFence, 15);
-  checkFound(oneReplacement(), VoterSetFlaw::votesBeforeReading, 12);
-  checkFound(twoReplacements(), VoterSetFlaw::readsFromUnread, 18);
-  checkFound(twoRemovals(), VoterSetFlaw::shrinksWithoutReading, 10);
-  checkFound(returnsUnheard(), VoterSetFlaw::skipsEpochsUnread, 9);
+TEST_CASE("a voter that votes without the required reads lets a key run twice") {
+  checkDetected(oneReplacement(), VoterSetFlaw::readsBeforeFence, 15);
+  checkDetected(oneReplacement(), VoterSetFlaw::votesBeforeReading, 12);
+  checkDetected(twoReplacements(), VoterSetFlaw::readsFromIncompleteVoter, 18);
+  checkDetected(twoRemovals(), VoterSetFlaw::removalSkipsReading, 10);
+  checkDetected(staleVoterRejoins(), VoterSetFlaw::skippedEpochsSkipReading, 9);
 }
 
-TEST_CASE("what is told before it is on disk lets a key run twice") {
-  checkFound(powerLost(), VoterSetFlaw::voteBeforeSync, 5);
-  checkFound(powerLost(), VoterSetFlaw::fenceBeforeSync, 17);
-  checkFound(powerLost(), VoterSetFlaw::restartForgetsReading, 14);
+TEST_CASE("acting on state that is not yet on disk lets a key run twice") {
+  checkDetected(onePowerLoss(), VoterSetFlaw::voteBeforeSync, 5);
+  checkDetected(onePowerLoss(), VoterSetFlaw::fenceBeforeSync, 17);
+  checkDetected(onePowerLoss(), VoterSetFlaw::restartSkipsReading, 14);
 }
 
-TEST_CASE("a claim that is given back while it may run lets a key run twice") {
-  checkFound(givenBack(), VoterSetFlaw::freedTooEarly, 6);
+TEST_CASE("a claim released while it may still run lets a key run twice") {
+  checkDetected(releasedClaims(), VoterSetFlaw::releasedTooEarly, 6);
 }
 
-TEST_CASE("no order of messages, timers and losses decides a register twice, or an order in part") {
+TEST_CASE("agreement decides no register twice and no order partially") {
   AgreementSearch lossy = orders(11);
   lossy.losses = 1;
   lossy.timers = 1;
   const auto found = explore(lossy);
-  CHECK_FALSE(found.trail);
+  CHECK_FALSE(found.trace);
   CHECK(found.states > 50'000);
-  AgreementSearch restarting = ordersAndLostPower(11);
+  AgreementSearch restarting = ordersWithPowerLoss(11);
   restarting.timers = 1;
-  CHECK_FALSE(explore(restarting).trail);
-  CHECK_FALSE(explore(ordersAndLostDisk(12)).trail);
+  CHECK_FALSE(explore(restarting).trace);
+  CHECK_FALSE(explore(ordersWithDiskLoss(12)).trace);
   AgreementSearch five = orders(8);
   five.voters = 5;
   five.proposers = 3;
-  CHECK_FALSE(explore(five).trail);
-  // What it looks into is not idle: an order is acknowledged.
-  five.wantsDecision = true;
-  CHECK(explore(five).trail);
-}
-
-TEST_CASE("copies of the agreement that are broken on purpose are found") {
-  checkFound(orders(6), AgreementFlaw::acceptsWhatever, 5);
-  checkFound(orders(6), AgreementFlaw::pushedBeforeAgreed, 2);
-  checkFound(orders(7), AgreementFlaw::inForceInParts, 7);
-  checkFound(ordersAndLostPower(6), AgreementFlaw::toldBeforeWrite, 4);
-  checkFound(ordersAndLostPower(15), AgreementFlaw::promisesNotWritten, 15);
-  checkFound(ordersAndLostDisk(9), AgreementFlaw::votesBeforeReading, 9);
+  CHECK_FALSE(explore(five).trace);
+  // Coverage: the search reaches an acknowledged order.
+  five.targetAcknowledged = true;
+  CHECK(explore(five).trace);
+}
+
+TEST_CASE("the agreement checker detects each defect") {
+  checkDetected(orders(6), AgreementFlaw::acceptsUnconditionally, 5);
+  checkDetected(orders(6), AgreementFlaw::appliesBeforeDecision, 2);
+  checkDetected(orders(7), AgreementFlaw::appliesPartially, 7);
+  checkDetected(ordersWithPowerLoss(6), AgreementFlaw::repliesBeforeWrite, 4);
+  checkDetected(ordersWithPowerLoss(15), AgreementFlaw::promisesNotPersisted, 15);
+  checkDetected(ordersWithDiskLoss(9), AgreementFlaw::votesBeforeReading, 9);
 }
