--- a/src/lab/mesh/forward_relay.cpp
+++ b/src/lab/mesh/forward_relay.cpp
@@ -59,9 +59,9 @@
   enum class ResetKind { beforeRequest, afterRequest, lateRequest, midResponse, bothEnds };
 
   void fromCaller(std::string bytes) {
-    if (fraction(relay_.chance_) >= relay_.resetRatio_) return sidecar_->write(std::move(bytes));
+    if (fraction(relay_.rng_) >= relay_.resetRatio_) return sidecar_->write(std::move(bytes));
     ++relay_.resets_;
-    switch (static_cast<ResetKind>(static_cast<int>(fraction(relay_.chance_) * 5))) {
+    switch (static_cast<ResetKind>(static_cast<int>(fraction(relay_.rng_) * 5))) {
       case ResetKind::beforeRequest:
         caller_->abort();
         return;
@@ -109,7 +109,7 @@
   }
 
   void scheduleWithin(Span maxDelay, std::function<void()> task) {
-    const Span wait = std::chrono::duration_cast<Span>(maxDelay * fraction(relay_.chance_));
+    const Span wait = std::chrono::duration_cast<Span>(maxDelay * fraction(relay_.rng_));
     relay_.loop_.in(wait, [self = shared_from_this(), task = std::move(task)] { task(); });
   }
 
@@ -128,10 +128,10 @@
 };
 
 ForwardRelay::ForwardRelay(sidecar::Loop& loop, const rackroute::mesh::Address& at,
-                           rackroute::mesh::Address to, Chance& chance)
+                           rackroute::mesh::Address to, Chance& rng)
     : loop_(loop),
       target_(std::move(to)),
-      chance_(chance),
+      rng_(rng),
       listener_(loop, at, [this](Poco::Net::StreamSocket socket, std::string peer) {
         const auto pair = std::make_shared<ForwardRelayPair>(*this, std::move(socket), std::move(peer));
         pairs_.insert(pair);
--- a/src/lab/mesh/forward_relay.hpp
+++ b/src/lab/mesh/forward_relay.hpp
@@ -21,7 +21,7 @@
 class ForwardRelay {
  public:
   ForwardRelay(sidecar::Loop& loop, const rackroute::mesh::Address& at, rackroute::mesh::Address to,
-               Chance& chance);
+               Chance& rng);
   ForwardRelay(const ForwardRelay&) = delete;
   ForwardRelay& operator=(const ForwardRelay&) = delete;
   ~ForwardRelay();
@@ -35,7 +35,7 @@
 
   sidecar::Loop& loop_;
   rackroute::mesh::Address target_;
-  Chance& chance_;
+  Chance& rng_;
   rackroute::mesh::Listener listener_;
   std::set<std::shared_ptr<ForwardRelayPair>> pairs_;
   double resetRatio_ = 0;
--- a/src/lab/mesh/process_children.cpp
+++ b/src/lab/mesh/process_children.cpp
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-ProcessChildren::ProcessChildren(ProcessContext& context, const ProcessRunOptions& plan, bool relayed)
+ProcessChildren::ProcessChildren(ProcessContext& context, const ProcessRunOptions& options, bool relayed)
     : context_(context),
-      plan_(plan),
+      options_(options),
       relayed_(relayed),
       folder_((fs::temp_directory_path() / ("rackroute-mesh-" + std::to_string(::getpid()))).string()),
       children_(context.day.controls + context.day.sidecars),
@@ -75,18 +75,19 @@
 void ProcessChildren::start(std::uint32_t machine, bool firstBoot) {
   const bool control = context_.machines.isControl(machine);
   if (control) fs::create_directories(dataFolderOf(machine));
-  Children::Start options;
-  options.program = control ? plan_.control : plan_.sidecar;
-  options.arguments = {"--log", "info"};
+  Children::Start childOptions;
+  childOptions.program = control ? options_.control : options_.sidecar;
+  childOptions.arguments = {"--log", "info"};
   if (control) {
-    options.arguments.insert(
-        options.arguments.end(),
+    childOptions.arguments.insert(
+        childOptions.arguments.end(),
         {"--per-zone", std::to_string(std::max(1U, context_.day.controls / context_.day.zones))});
   }
-  options.variable = "RACKROUTE_CONFIG";
-  options.settings = settings(machine, firstBoot).dump();
-  if (!plan_.logs.empty()) options.log = plan_.logs + '/' + context_.machines.nameOf(machine) + ".log";
-  children_.start(machine, options);
+  childOptions.variable = "RACKROUTE_CONFIG";
+  childOptions.settings = settings(machine, firstBoot).dump();
+  if (!options_.logs.empty())
+    childOptions.log = options_.logs + '/' + context_.machines.nameOf(machine) + ".log";
+  children_.start(machine, childOptions);
   startedAt_[machine] = context_.now();
   context_.logEvent("started " + context_.machines.nameOf(machine) + " at " +
                     context_.machines.ipOf(machine) + (control ? " (control)" : " (sidecar)"));
--- a/src/lab/mesh/process_children.hpp
+++ b/src/lab/mesh/process_children.hpp
@@ -16,7 +16,7 @@
 class ProcessChildren {
  public:
   /// relayed: each sidecar's inbound listener is behind a ForwardRelay.
-  ProcessChildren(ProcessContext& context, const ProcessRunOptions& plan, bool relayed);
+  ProcessChildren(ProcessContext& context, const ProcessRunOptions& options, bool relayed);
   ProcessChildren(const ProcessChildren&) = delete;
   ProcessChildren& operator=(const ProcessChildren&) = delete;
   ~ProcessChildren();
@@ -41,7 +41,7 @@
   }
 
   ProcessContext& context_;
-  const ProcessRunOptions& plan_;
+  const ProcessRunOptions& options_;
   bool relayed_;
   std::string folder_;
   Children children_;
--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -26,11 +26,11 @@
 
 void ProcessClients::scheduleArrival() {
   if (context_.now() >= context_.loadEnd || context_.day.perSecond <= 0) return;
-  context_.loop.in(spanOf(-std::log(1 - fraction(arrivals_)) / context_.day.perSecond),
+  context_.loop.in(spanOf(-std::log(1 - fraction(arrivalRng_)) / context_.day.perSecond),
                    [this] { scheduleArrival(); });
   Wanted wanted;
-  const double kind = fraction(arrivals_);
-  const bool other = fraction(arrivals_) < 0.4;
+  const double kind = fraction(arrivalRng_);
+  const bool other = fraction(arrivalRng_) < 0.4;
   if (kind < context_.day.keyed) {
     wanted.route = other ? 2 : 1;
     wanted.key = "k" + std::to_string(++keys_);
@@ -140,11 +140,11 @@
 // Repeats a ratio of the keyed requests after a success.
 void ProcessClients::maybeRepeat(const Wanted& wanted) {
   const RouteTold& route = kRoutes[wanted.route];
-  if (route.sort != Sort::keyed || wanted.again || fraction(chance_) >= context_.day.again) return;
+  if (route.sort != Sort::keyed || wanted.again || fraction(rng_) >= context_.day.again) return;
   Wanted next = wanted;
   next.again = true;
   next.until = context_.now() + spanOf(route.deadline) + 1s;
-  context_.loop.in(spanOf(fraction(chance_)), [this, next] { sendRequest(anySidecar(), next); });
+  context_.loop.in(spanOf(fraction(rng_)), [this, next] { sendRequest(anySidecar(), next); });
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/process_clients.hpp
+++ b/src/lab/mesh/process_clients.hpp
@@ -20,12 +20,12 @@
  public:
   /// When the process on a machine was last killed or frozen.
   using DisturbedAt = std::function<Span(std::uint32_t machine)>;
-  ProcessClients(ProcessContext& context, const ProcessServers& servers, Chance& arrivals, Chance& chance,
+  ProcessClients(ProcessContext& context, const ProcessServers& servers, Chance& arrivalRng, Chance& rng,
                  DisturbedAt disturbedAt)
       : context_(context),
         servers_(servers),
-        arrivals_(arrivals),
-        chance_(chance),
+        arrivalRng_(arrivalRng),
+        rng_(rng),
         disturbedAt_(std::move(disturbedAt)) {}
 
   /// Schedules the next arrival and sends one request, until the end of the run.
@@ -52,13 +52,13 @@
   void maybeRepeat(const Wanted& wanted);
   [[nodiscard]] std::uint32_t anySidecar() {
     return context_.machines.sidecarMachine(
-        static_cast<std::uint32_t>(fraction(chance_) * context_.day.sidecars));
+        static_cast<std::uint32_t>(fraction(rng_) * context_.day.sidecars));
   }
 
   ProcessContext& context_;
   const ProcessServers& servers_;
-  Chance& arrivals_;
-  Chance& chance_;
+  Chance& arrivalRng_;
+  Chance& rng_;
   DisturbedAt disturbedAt_;
   std::map<std::uint64_t, InFlight> inFlight_;        // by attempt
   std::map<std::uint64_t, std::uint32_t> machineOf_;  // by attempt
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -164,9 +164,9 @@
   if (work.keyed) ++server.keyed;
   const Distribution serviceTime{Shape::lognormal, context_.day.work, 0.6};
   const Span wait = std::chrono::duration_cast<Span>(
-      std::chrono::duration<double>(serviceTime.draw(chance_) * server.slowdown));
+      std::chrono::duration<double>(serviceTime.draw(rng_) * server.slowdown));
   const Span done = context_.now() + wait;
-  const double sample = fraction(chance_);
+  const double sample = fraction(rng_);
   context_.loop.at(context_.startTime + std::min(done, work.deadline),
                    [this, machine, connection, work, seal, sample, instanceNo = server.instanceNo,
                     inTime = done <= work.deadline] {
--- a/src/lab/mesh/process_servers.hpp
+++ b/src/lab/mesh/process_servers.hpp
@@ -20,8 +20,8 @@
 class ProcessServers {
  public:
   /// callerOf: the service on the machine where a client sent the attempt.
-  ProcessServers(ProcessContext& context, Chance& chance, std::function<int(std::uint64_t attempt)> callerOf)
-      : context_(context), chance_(chance), callerOf_(std::move(callerOf)) {}
+  ProcessServers(ProcessContext& context, Chance& rng, std::function<int(std::uint64_t attempt)> callerOf)
+      : context_(context), rng_(rng), callerOf_(std::move(callerOf)) {}
 
   /// Opens the listener, which all instances on the machine share; throws Poco exceptions if binding fails.
   void listen(std::uint32_t machine);
@@ -80,7 +80,7 @@
               bool inTime, double sample);
 
   ProcessContext& context_;
-  Chance& chance_;
+  Chance& rng_;
   std::function<int(std::uint64_t)> callerOf_;
   std::map<std::uint32_t, Server> servers_;  // by machine
   std::map<std::uint64_t, Run> runs_;        // by seal
--- a/src/lab/mesh/processes.cpp
+++ b/src/lab/mesh/processes.cpp
@@ -78,28 +78,28 @@
 /// One run: owns the parts of the mesh and injects the faults.
 class ProcessMesh {
  public:
-  ProcessMesh(const Day& day, const ProcessRunOptions& plan)
+  ProcessMesh(const Day& day, const ProcessRunOptions& options)
       : day_(day),
-        plan_(plan),
-        arrivals_(chanceOf(plan.seed, Purpose::arrivals)),
-        chance_(chanceOf(plan.seed, Purpose::clients)),
-        resetChance_(chanceOf(plan.seed, Purpose::network)),
+        options_(options),
+        arrivalRng_(chanceOf(options.seed, Purpose::arrivals)),
+        rng_(chanceOf(options.seed, Purpose::clients)),
+        resetRng_(chanceOf(options.seed, Purpose::network)),
         judge_({kDrain, kApply, spanOf(day.keyWindow), kRetryWindow, kRetryRatio, kRetrySlack}),
         httpClient_(loop_, {300ms, 5s, Span{0}, 1 << 20, 64}),
         machines_(day_, 20 + static_cast<std::uint32_t>(::getpid()) % 200),
         context_{day_,        loop_,     judge_,
                  httpClient_, machines_, [this](const std::string& line) { logEvent(line); }},
-        servers_(context_, chance_, [this](std::uint64_t attempt) { return clients_.callerOf(attempt); }),
-        clients_(context_, servers_, arrivals_, chance_,
+        servers_(context_, rng_, [this](std::uint64_t attempt) { return clients_.callerOf(attempt); }),
+        clients_(context_, servers_, arrivalRng_, rng_,
                  [this](std::uint32_t machine) { return children_.disturbedAt(machine); }),
         operators_(context_),
-        children_(context_, plan, hasResetFaults(day)) {}
+        children_(context_, options, hasResetFaults(day)) {}
 
   ProcessRunResult run();
 
  private:
   void logEvent(const std::string& line) const {
-    if (plan_.onEvent) plan_.onEvent(line);
+    if (options_.onEvent) options_.onEvent(line);
   }
   void begin();
   void injectFault(const Trouble& fault);
@@ -110,8 +110,8 @@
   void checkProgress();
 
   Day day_;
-  const ProcessRunOptions& plan_;
-  Chance arrivals_, chance_, resetChance_;
+  const ProcessRunOptions& options_;
+  Chance arrivalRng_, rng_, resetRng_;
   sidecar::Loop loop_;
   Judge judge_;
   HttpClient httpClient_;
@@ -152,7 +152,7 @@
     const bool exited = children_.hasExited(machine);
     // Another fault has restarted the process in the meantime.
     if (!exited && children_.idAt(machine) != process) return;
-    // A process that was frozen after the signal has not had its whole grace period.
+    // A process that was frozen after the signal has not had its full grace period.
     if (!exited && children_.disturbedAt(machine) < signalledAt)
       judge_.failed(context_.now(), "GRACE",
                     machines_.nameOf(machine) + " still runs after its grace period");
@@ -214,7 +214,7 @@
 }
 
 void ProcessMesh::applyClosing() {
-  const std::uint32_t wiped = static_cast<std::uint32_t>(plan_.seed) % day_.controls;
+  const std::uint32_t wiped = static_cast<std::uint32_t>(options_.seed) % day_.controls;
   for (std::uint32_t control = 0; control < day_.controls; ++control) {
     if (day_.closing == Closing::killAll) kill(control, context_.now() + kRestartDelay, false);
     if (day_.closing == Closing::wipeOne && control == wiped)
@@ -230,7 +230,7 @@
     if (relayed) {
       relays_[machine] =
           std::make_unique<ForwardRelay>(loop_, machines_.addressOf(machine, Port::inbound),
-                                         machines_.addressOf(machine, Port::behindRelay), resetChance_);
+                                         machines_.addressOf(machine, Port::behindRelay), resetRng_);
     }
   }
   for (std::uint32_t i = 0; i < day_.controls + day_.sidecars; ++i) children_.start(i, true);
@@ -252,17 +252,17 @@
   context_.loadEnd = kWarmUp + spanOf(day_.seconds);
   loop_.guarded([this] { begin(); });
   loop_.run();
-  ProcessRunResult played;
-  played.figures = endOfDay(judge_, operators_.table(), day_.leastServed, context_.now());
-  played.broken = judge_.broken();
-  played.late = maxLoopDelay_ > kLoopDelayLimit || Children::brokenOff();
-  played.figures["kills"] = kills_;
-  played.figures["keyed_at_work_when_killed"] = keyedInFlightAtKills_;
-  played.figures["latest_look_ms"] = secondsOf(maxLoopDelay_) * 1000;
+  ProcessRunResult result;
+  result.figures = endOfDay(judge_, operators_.table(), day_.leastServed, context_.now());
+  result.broken = judge_.broken();
+  result.late = maxLoopDelay_ > kLoopDelayLimit || Children::brokenOff();
+  result.figures["kills"] = kills_;
+  result.figures["keyed_at_work_when_killed"] = keyedInFlightAtKills_;
+  result.figures["latest_look_ms"] = secondsOf(maxLoopDelay_) * 1000;
   std::uint64_t resets = 0;
   for (const auto& entry : relays_) resets += entry.second->resets();
-  if (!relays_.empty()) played.figures["resets"] = resets;
-  return played;
+  if (!relays_.empty()) result.figures["resets"] = resets;
+  return result;
 }
 
 }  // namespace
@@ -275,7 +275,7 @@
   return day;
 }
 
-ProcessRunResult runWithProcesses(const Day& day, const ProcessRunOptions& plan) {
+ProcessRunResult runWithProcesses(const Day& day, const ProcessRunOptions& options) {
   if (day.controls + day.sidecars > kMaxMachines)
     throw BadScenario(day.name + ": controls and sidecars: at most " + std::to_string(kMaxMachines) +
                       " in total with real processes");
@@ -287,12 +287,12 @@
     if (isVirtualOnly(fault.kind))
       throw BadScenario(day.name + ": trouble: " + mesh::nameOf(fault.kind) + " requires virtual time");
   }
-  for (const std::string& program : {plan.sidecar, plan.control}) {
+  for (const std::string& program : {options.sidecar, options.control}) {
     if (::access(program.c_str(), X_OK) != 0) throw BadScenario(program + ": not an executable file");
   }
   if (!sidecar::setLevel("error")) throw std::logic_error("unknown log level");
   Children::prepare();
-  return ProcessMesh(day, plan).run();
+  return ProcessMesh(day, options).run();
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/processes.hpp
+++ b/src/lab/mesh/processes.hpp
@@ -27,6 +27,6 @@
 /// Removes the faults that can't be injected into processes on loopback.
 Day restrictToProcesses(Day day);
 /// Throws BadScenario if the scenario has faults that can't be injected into processes on loopback.
-ProcessRunResult runWithProcesses(const Day& day, const ProcessRunOptions& plan);
+ProcessRunResult runWithProcesses(const Day& day, const ProcessRunOptions& options);
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/state_search.hpp
+++ b/src/lab/mesh/state_search.hpp
@@ -101,11 +101,11 @@
     State state = initial_;
     typename Model::Names names = model_.renamed(model_.initialNames(), state);
     model_.canonicalize(state);
-    for (const Step& wanted : steps) {
-      lines.push_back(model_.describe(names, wanted, state));
+    for (const Step& chosen : steps) {
+      lines.push_back(model_.describe(names, chosen, state));
       State after = state;
       model_.forEachStep(state, [&](const Step& step, State& successor) {
-        if (step == wanted) after = successor;
+        if (step == chosen) after = successor;
       });
       names = model_.renamed(names, after);
       model_.canonicalize(after);
