--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -304,7 +304,7 @@
 
 /// One day of an emulated mesh over several seeds; or days drawn anew for each, of the file's size.
 int playMesh(const Asked& asked) {
-  mesh::RunsAsked runs;
+  mesh::RunOptions runs;
   runs.size = mesh::readDay(asked.file, overridesOf(asked.sets));
   runs.seed = asked.seed;
   runs.seeds = asked.drills;
@@ -317,10 +317,10 @@
   const bool sockets = asked.clock == "sockets";
   if (!sockets && asked.soaks) throw BadInput("--soak goes with --clock sockets");
   if (sockets && asked.shrinks) throw BadInput("--shrink goes with virtual time: processes repeat no run");
-  const mesh::RunsPlayed played =
-      sockets ? mesh::playOnProcesses(runs, std::cout) : mesh::playInVirtualTime(runs, std::cout);
+  const mesh::RunResults played =
+      sockets ? mesh::runOnProcesses(runs, std::cout) : mesh::runInVirtualTime(runs, std::cout);
   if (!asked.json.empty()) writeWhole(asked.json, played.runs.dump(1) + '\n');
-  return !played.kept ? kMissed : played.late ? kNoVerdict : kAsExpected;
+  return !played.passed ? kMissed : played.late ? kNoVerdict : kAsExpected;
 }
 
 /// Every order of a key's words and losses.
--- a/src/lab/mesh/day.cpp
+++ b/src/lab/mesh/day.cpp
@@ -10,48 +10,48 @@
 namespace rackroute::lab::mesh {
 namespace {
 
-constexpr std::array<std::pair<std::string_view, TroubleKind>, 41> kTroubleKinds{{
-    {"kill_sidecar", TroubleKind::killSidecar},
-    {"kill_control", TroubleKind::killControl},
-    {"power_control", TroubleKind::powerControl},
-    {"wipe_control", TroubleKind::wipeControl},
-    {"freeze_sidecar", TroubleKind::freezeSidecar},
-    {"freeze_control", TroubleKind::freezeControl},
-    {"cut_sidecar", TroubleKind::cutSidecar},
-    {"cut_control", TroubleKind::cutControl},
-    {"cut_control_one_way", TroubleKind::cutControlOneWay},
-    {"disk_slow", TroubleKind::diskSlow},
-    {"disk_full", TroubleKind::diskFull},
-    {"server_loses", TroubleKind::serverLoses},
-    {"server_spoils", TroubleKind::serverSpoils},
-    {"server_slow", TroubleKind::serverSlow},
-    {"server_crash", TroubleKind::serverCrash},
-    {"release", TroubleKind::release},
-    {"term_sidecar", TroubleKind::termSidecar},
-    {"change", TroubleKind::change},
-    {"race", TroubleKind::race},
-    {"bad_change", TroubleKind::badChange},
-    {"replace_control", TroubleKind::replaceControl},
-    {"replace_control_planned", TroubleKind::replaceControlPlanned},
-    {"cut_control_asymmetric", TroubleKind::cutControlAsymmetric},
-    {"cut_core_halves", TroubleKind::cutCoreHalves},
-    {"restart_beside", TroubleKind::restartBeside},
-    {"reset_control", TroubleKind::resetControl},
-    {"reset_sidecar", TroubleKind::resetSidecar},
-    {"disk_stall", TroubleKind::diskStall},
-    {"clock_step", TroubleKind::clockStep},
-    {"kill_core", TroubleKind::killCore},
-    {"power_core", TroubleKind::powerCore},
-    {"power_core_at_answer", TroubleKind::powerCoreAtAnswer},
-    {"roll_sidecars", TroubleKind::rollSidecars},
-    {"answers_lost", TroubleKind::answersLost},
-    {"storm", TroubleKind::storm},
-    {"change_many", TroubleKind::changeMany},
-    {"race_many", TroubleKind::raceMany},
-    {"old_change", TroubleKind::oldChange},
-    {"new_service", TroubleKind::newService},
-    {"reset_forwards", TroubleKind::resetForwards},
-    {"hang_up", TroubleKind::hangUp},
+constexpr std::array<std::pair<std::string_view, FaultKind>, 41> kFaultKinds{{
+    {"kill_sidecar", FaultKind::killSidecar},
+    {"kill_control", FaultKind::killControl},
+    {"power_control", FaultKind::powerControl},
+    {"wipe_control", FaultKind::wipeControl},
+    {"freeze_sidecar", FaultKind::freezeSidecar},
+    {"freeze_control", FaultKind::freezeControl},
+    {"cut_sidecar", FaultKind::cutSidecar},
+    {"cut_control", FaultKind::cutControl},
+    {"cut_control_one_way", FaultKind::cutControlOneWay},
+    {"disk_slow", FaultKind::diskSlow},
+    {"disk_full", FaultKind::diskFull},
+    {"server_loses", FaultKind::serverLoses},
+    {"server_spoils", FaultKind::serverSpoils},
+    {"server_slow", FaultKind::serverSlow},
+    {"server_crash", FaultKind::serverCrash},
+    {"release", FaultKind::release},
+    {"term_sidecar", FaultKind::termSidecar},
+    {"change", FaultKind::change},
+    {"race", FaultKind::race},
+    {"bad_change", FaultKind::badChange},
+    {"replace_control", FaultKind::replaceControl},
+    {"replace_control_planned", FaultKind::replaceControlPlanned},
+    {"cut_control_asymmetric", FaultKind::cutControlAsymmetric},
+    {"cut_core_halves", FaultKind::cutCoreHalves},
+    {"restart_beside", FaultKind::restartBeside},
+    {"reset_control", FaultKind::resetControl},
+    {"reset_sidecar", FaultKind::resetSidecar},
+    {"disk_stall", FaultKind::diskStall},
+    {"clock_step", FaultKind::clockStep},
+    {"kill_core", FaultKind::killCore},
+    {"power_core", FaultKind::powerCore},
+    {"power_core_at_answer", FaultKind::powerCoreAtAnswer},
+    {"roll_sidecars", FaultKind::rollSidecars},
+    {"answers_lost", FaultKind::answersLost},
+    {"storm", FaultKind::storm},
+    {"change_many", FaultKind::changeMany},
+    {"race_many", FaultKind::raceMany},
+    {"old_change", FaultKind::oldChange},
+    {"new_service", FaultKind::newService},
+    {"reset_forwards", FaultKind::resetForwards},
+    {"hang_up", FaultKind::hangUp},
 }};
 constexpr std::array<std::pair<std::string_view, Closing>, 4> kClosingFaults{
     {{"none", Closing::none},
@@ -61,8 +61,8 @@
 
 }  // namespace
 
-std::string nameOf(TroubleKind kind) {
-  return std::string(std::find_if(kTroubleKinds.begin(), kTroubleKinds.end(), [&](const auto& entry) {
+std::string nameOf(FaultKind kind) {
+  return std::string(std::find_if(kFaultKinds.begin(), kFaultKinds.end(), [&](const auto& entry) {
                        return entry.second == kind;
                      })->first);
 }
@@ -76,48 +76,47 @@
   day.controls = top.whole("controls", day.controls, 1, 20);
   day.sidecars = top.whole("sidecars", day.sidecars, 1, 2000);
   day.seconds = top.number("length_s", day.seconds, 1, kLongest);
-  day.perSecond = top.number("per_s", day.perSecond, 0, 1e6);
-  day.keyed = top.number("keyed", day.keyed, 0, 1);
-  day.effectful = top.number("effectful", day.effectful, 0, 1);
-  day.again = top.number("again", day.again, 0, 1);
-  day.leaving = top.number("leaving", day.leaving, 0, 1);
+  day.requestRate = top.number("per_s", day.requestRate, 0, 1e6);
+  day.keyedShare = top.number("keyed", day.keyedShare, 0, 1);
+  day.effectfulShare = top.number("effectful", day.effectfulShare, 0, 1);
+  day.repeatShare = top.number("again", day.repeatShare, 0, 1);
+  day.disconnectShare = top.number("leaving", day.disconnectShare, 0, 1);
   day.slots = top.whole("slots", day.slots, 1, 10000);
-  day.work = top.number("work_s", day.work, 0.001, 100);
-  day.sync = top.number("sync_s", day.sync, 0, 10);
-  day.across = top.number("across_s", day.across, 0, 10);
+  day.meanServiceTime = top.number("work_s", day.meanServiceTime, 0.001, 100);
+  day.syncTime = top.number("sync_s", day.syncTime, 0, 10);
+  day.crossZoneDelay = top.number("across_s", day.crossZoneDelay, 0, 10);
   day.keyWindow = top.number("key_window_s", day.keyWindow, 1, kLongest);
   day.idleRoutes = top.whole("idle_routes", day.idleRoutes, 0, 100'000);
-  day.leastServed = top.number("least_served", 0, 0, 1);
-  day.clientsStay = top.yes("clients_stay", day.clientsStay);
+  day.minServedShare = top.number("least_served", 0, 0, 1);
+  day.keepConnections = top.yes("clients_stay", day.keepConnections);
   const std::string closing = top.text("closing", "none");
-  const auto ends = std::find_if(kClosingFaults.begin(), kClosingFaults.end(),
-                                 [&](const auto& e) { return e.first == closing; });
-  if (ends == kClosingFaults.end()) top.fail("closing", "is no closing fault");
-  day.closing = ends->second;
+  const auto found = std::find_if(kClosingFaults.begin(), kClosingFaults.end(),
+                                  [&](const auto& e) { return e.first == closing; });
+  if (found == kClosingFaults.end()) top.fail("closing", "is not a closing fault");
+  day.closing = found->second;
   for (Section& entry : top.each("trouble")) {
-    Trouble trouble;
+    Fault fault;
     const std::string kind = entry.text("kind", "");
-    const auto known = std::find_if(kTroubleKinds.begin(), kTroubleKinds.end(),
-                                    [&](const auto& e) { return e.first == kind; });
-    if (known == kTroubleKinds.end()) entry.fail("kind", "is no trouble");
-    trouble.kind = known->second;
-    trouble.at = entry.number("at_s", 5, 0, kLongest);
-    trouble.lasts = entry.number("for_s", 3, 0, kLongest);
-    trouble.who = entry.whole("who", 0, 0, 1e6);
-    trouble.part = entry.number("part", 0.05, -1000, 1000);
+    const auto known =
+        std::find_if(kFaultKinds.begin(), kFaultKinds.end(), [&](const auto& e) { return e.first == kind; });
+    if (known == kFaultKinds.end()) entry.fail("kind", "is not a known kind");
+    fault.kind = known->second;
+    fault.at = entry.number("at_s", 5, 0, kLongest);
+    fault.duration = entry.number("for_s", 3, 0, kLongest);
+    fault.target = entry.whole("who", 0, 0, 1e6);
+    fault.magnitude = entry.number("part", 0.05, -1000, 1000);
     entry.close();
-    day.troubles.push_back(trouble);
+    day.faults.push_back(fault);
   }
   top.close();
   return day;
 }
 
-std::vector<TroubleKind> allTroubleKinds() {
-  std::vector<TroubleKind> kinds;
-  for (const auto& entry : kTroubleKinds) {
-    const bool onProcesses =
-        entry.second == TroubleKind::resetForwards || entry.second == TroubleKind::hangUp;
-    if (!onProcesses) kinds.push_back(entry.second);
+std::vector<FaultKind> emulatedFaultKinds() {
+  std::vector<FaultKind> kinds;
+  for (const auto& entry : kFaultKinds) {
+    const bool processesOnly = entry.second == FaultKind::resetForwards || entry.second == FaultKind::hangUp;
+    if (!processesOnly) kinds.push_back(entry.second);
   }
   return kinds;
 }
@@ -125,19 +124,21 @@
 std::string textOf(const Day& day) {
   std::ostringstream text;
   text << "name = \"" << day.name << "\"\nzones = " << day.zones << "\ncontrols = " << day.controls
-       << "\nsidecars = " << day.sidecars << "\nlength_s = " << day.seconds << "\nper_s = " << day.perSecond
-       << "\nkeyed = " << day.keyed << "\neffectful = " << day.effectful << "\nagain = " << day.again
-       << "\nleaving = " << day.leaving << "\nslots = " << day.slots << "\nwork_s = " << day.work
-       << "\nsync_s = " << day.sync << "\nacross_s = " << day.across << "\nkey_window_s = " << day.keyWindow
-       << "\nidle_routes = " << day.idleRoutes << "\nleast_served = " << day.leastServed
-       << "\nclients_stay = " << (day.clientsStay ? "true" : "false") << "\nclosing = \""
+       << "\nsidecars = " << day.sidecars << "\nlength_s = " << day.seconds << "\nper_s = " << day.requestRate
+       << "\nkeyed = " << day.keyedShare << "\neffectful = " << day.effectfulShare
+       << "\nagain = " << day.repeatShare << "\nleaving = " << day.disconnectShare
+       << "\nslots = " << day.slots << "\nwork_s = " << day.meanServiceTime << "\nsync_s = " << day.syncTime
+       << "\nacross_s = " << day.crossZoneDelay << "\nkey_window_s = " << day.keyWindow
+       << "\nidle_routes = " << day.idleRoutes << "\nleast_served = " << day.minServedShare
+       << "\nclients_stay = " << (day.keepConnections ? "true" : "false") << "\nclosing = \""
        << std::find_if(kClosingFaults.begin(), kClosingFaults.end(),
                        [&](const auto& e) { return e.second == day.closing; })
               ->first
        << "\"\n";
-  for (const Trouble& trouble : day.troubles) {
-    text << "\n[[trouble]]\nkind = \"" << nameOf(trouble.kind) << "\"\nat_s = " << trouble.at
-         << "\nfor_s = " << trouble.lasts << "\nwho = " << trouble.who << "\npart = " << trouble.part << '\n';
+  for (const Fault& fault : day.faults) {
+    text << "\n[[trouble]]\nkind = \"" << nameOf(fault.kind) << "\"\nat_s = " << fault.at
+         << "\nfor_s = " << fault.duration << "\nwho = " << fault.target << "\npart = " << fault.magnitude
+         << '\n';
   }
   return text.str();
 }
--- a/src/lab/mesh/day_draw.cpp
+++ b/src/lab/mesh/day_draw.cpp
@@ -1,5 +1,5 @@
-// Days drawn from a seed: troubles of every kind, with as many control machines lost at once as a majority of
-// the others can bear, and no more.
+// Generates days with faults of every kind from a seed. The number of control nodes lost at once never
+// exceeds what the remaining majority tolerates.
 
 #include <algorithm>
 
@@ -9,50 +9,50 @@
 namespace rackroute::lab::mesh {
 namespace {
 
-constexpr double kFirstTrouble = 3;   // seconds; the sidecars have settled
-constexpr double kBeforeClosing = 8;  // seconds between the last control trouble and a day's end
+constexpr double kFirstFault = 3;     // seconds; the sidecars have synchronized by then
+constexpr double kBeforeClosing = 8;  // seconds between the last control fault and the end of the day
 constexpr double kRestart = 0.3;      // seconds until a killed process starts again
-constexpr double kOutageTail = 4;     // seconds without service after a time without a majority
-constexpr double kGap = 2;            // seconds at most between a lane's troubles, beyond the catch-up
-constexpr double kLeaving = 4;        // seconds that a server takes to leave, about
+constexpr double kOutageTail = 4;     // seconds of degraded service after an outage of the majority
+constexpr double kGap = 2;            // seconds at most between the faults of a lane, after the catch-up time
+constexpr double kShutdownTime = 4;   // seconds that a server takes to shut down, approximately
 constexpr double kLongCut = 20;       // seconds
 constexpr double kLongCutShare = 0.25;
 constexpr double kSecondLossShare = 0.5;
 
-/// On which the same machine may not be lost twice, nor more machines than there are such lanes.
+/// A sequence of non-overlapping faults of some control nodes; at most one node per lane is down at a time.
 struct Lane {
-  double freeAt = kFirstTrouble;
+  double freeAt = kFirstFault;
   std::vector<std::uint32_t> slots;
 };
 
-bool losesDisk(TroubleKind kind) {
-  return kind == TroubleKind::wipeControl || kind == TroubleKind::replaceControl ||
-         kind == TroubleKind::replaceControlPlanned;
+bool isDiskLoss(FaultKind kind) {
+  return kind == FaultKind::wipeControl || kind == FaultKind::replaceControl ||
+         kind == FaultKind::replaceControlPlanned;
 }
 
-bool cutsControl(TroubleKind kind) {
-  return kind == TroubleKind::cutControl || kind == TroubleKind::cutControlOneWay ||
-         kind == TroubleKind::cutControlAsymmetric;
+bool isControlCut(FaultKind kind) {
+  return kind == FaultKind::cutControl || kind == FaultKind::cutControlOneWay ||
+         kind == FaultKind::cutControlAsymmetric;
 }
 
-bool strikesCore(TroubleKind kind) {
-  return kind == TroubleKind::cutCoreHalves || kind == TroubleKind::killCore ||
-         kind == TroubleKind::powerCore || kind == TroubleKind::powerCoreAtAnswer;
+bool affectsAllControls(FaultKind kind) {
+  return kind == FaultKind::cutCoreHalves || kind == FaultKind::killCore || kind == FaultKind::powerCore ||
+         kind == FaultKind::powerCoreAtAnswer;
 }
 
-bool strikesControl(TroubleKind kind) {
+bool affectsOneControl(FaultKind kind) {
   switch (kind) {
-    case TroubleKind::killControl:
-    case TroubleKind::powerControl:
-    case TroubleKind::freezeControl:
-    case TroubleKind::diskSlow:
-    case TroubleKind::diskFull:
-    case TroubleKind::diskStall:
-    case TroubleKind::resetControl:
-    case TroubleKind::clockStep:
+    case FaultKind::killControl:
+    case FaultKind::powerControl:
+    case FaultKind::freezeControl:
+    case FaultKind::diskSlow:
+    case FaultKind::diskFull:
+    case FaultKind::diskStall:
+    case FaultKind::resetControl:
+    case FaultKind::clockStep:
       return true;
     default:
-      return losesDisk(kind) || cutsControl(kind);
+      return isDiskLoss(kind) || isControlCut(kind);
   }
 }
 
@@ -68,12 +68,12 @@
 
   Day draw() {
     day_.closing = static_cast<Closing>(number(4));
-    const std::vector<TroubleKind> kinds = allTroubleKinds();
+    const std::vector<FaultKind> kinds = emulatedFaultKinds();
     const std::uint32_t count = 7 + number(10);
     for (std::uint32_t i = 0; i < count; ++i) add(kinds[number(static_cast<std::uint32_t>(kinds.size()))]);
     addChanges();
-    std::stable_sort(day_.troubles.begin(), day_.troubles.end(),
-                     [](const Trouble& a, const Trouble& b) { return a.at < b.at; });
+    std::stable_sort(day_.faults.begin(), day_.faults.end(),
+                     [](const Fault& a, const Fault& b) { return a.at < b.at; });
     return day_;
   }
 
@@ -82,143 +82,142 @@
   std::uint32_t number(std::uint32_t below) { return static_cast<std::uint32_t>(between(0, below - 0.001)); }
   [[nodiscard]] double lastEnd() const { return day_.seconds - kBeforeClosing; }
 
-  void add(TroubleKind kind) {
-    Trouble trouble{kind, between(kFirstTrouble, std::max(4.0, lastEnd())), between(0.3, 5), number(1000),
-                    between(0.01, 0.3)};
-    if (strikesCore(kind)) return addToCore(trouble);
-    if (strikesControl(kind)) {
-      trouble.at = kFirstTrouble;  // as soon as its lane is free
-      return addToControl(trouble);
+  void add(FaultKind kind) {
+    Fault fault{kind, between(kFirstFault, std::max(4.0, lastEnd())), between(0.3, 5), number(1000),
+                between(0.01, 0.3)};
+    if (affectsAllControls(kind)) return addCoreFault(fault);
+    if (affectsOneControl(kind)) {
+      fault.at = kFirstFault;  // moved to the time when its lane is free
+      return addControlFault(fault);
     }
     switch (kind) {
-      case TroubleKind::serverSlow:
-        trouble.part = between(4, 30);
+      case FaultKind::serverSlow:
+        fault.magnitude = between(4, 30);
         break;
-      case TroubleKind::resetSidecar:
-        trouble.part = between(0.3, 1);
+      case FaultKind::resetSidecar:
+        fault.magnitude = between(0.3, 1);
         break;
-      case TroubleKind::rollSidecars:
-        trouble.part = 2 + number(3);
+      case FaultKind::rollSidecars:
+        fault.magnitude = 2 + number(3);
         break;
-      case TroubleKind::answersLost:
-        trouble.part = between(0.2, 0.7);
-        trouble.lasts = between(3, 10);
-        for (int i = 0; i < 3; ++i) addRace(trouble.at + between(0, trouble.lasts));
+      case FaultKind::answersLost:
+        fault.magnitude = between(0.2, 0.7);
+        fault.duration = between(3, 10);
+        for (int i = 0; i < 3; ++i) addRace(fault.at + between(0, fault.duration));
         break;
-      case TroubleKind::storm:
-        addStorm(trouble.at);
+      case FaultKind::storm:
+        addStorm(fault.at);
         return;
-      case TroubleKind::release:
-        addKillsBeside(trouble);
+      case FaultKind::release:
+        addSidecarKills(fault);
         break;
       default:
         break;
     }
-    day_.troubles.push_back(trouble);
+    day_.faults.push_back(fault);
   }
 
   void addStorm(double at) {
     const double lasts = between(2, 6);
-    day_.troubles.push_back({TroubleKind::storm, at, lasts, number(1000), 100.0 + number(200)});
-    addToControl({TroubleKind::killControl, at + between(0, lasts), kRestart, number(1000), 0});
+    day_.faults.push_back({FaultKind::storm, at, lasts, number(1000), 100.0 + number(200)});
+    addControlFault({FaultKind::killControl, at + between(0, lasts), kRestart, number(1000), 0});
   }
 
-  // The process beside a server that leaves ends before the server does.
-  void addKillsBeside(const Trouble& release) {
+  // The server's sidecar is killed while the server shuts down.
+  void addSidecarKills(const Fault& release) {
     if (fraction(chance_) < 0.3) return;
-    const double first = release.at + between(0.5, kLeaving);
-    for (const double at : {first, first + between(0.4, kLeaving)})
-      day_.troubles.push_back({TroubleKind::killSidecar, at, 0, release.who, 0});
+    const double first = release.at + between(0.5, kShutdownTime);
+    for (const double at : {first, first + between(0.4, kShutdownTime)})
+      day_.faults.push_back({FaultKind::killSidecar, at, 0, release.target, 0});
   }
 
   void addRace(double at) {
-    const TroubleKind kind = fraction(chance_) < 0.5 ? TroubleKind::race : TroubleKind::raceMany;
-    day_.troubles.push_back({kind, at, 0, number(1000), 0});
+    const FaultKind kind = fraction(chance_) < 0.5 ? FaultKind::race : FaultKind::raceMany;
+    day_.faults.push_back({kind, at, 0, number(1000), 0});
   }
 
-  // All controls at once: none may be lost before they are back.
-  void addToCore(Trouble trouble) {
-    trouble.at = kFirstTrouble;
-    for (const Lane& lane : lanes_) trouble.at = std::max(trouble.at, lane.freeAt);
-    if (trouble.at + trouble.lasts + kCatchUpSeconds > lastEnd()) return;
-    for (Lane& lane : lanes_) lane.freeAt = trouble.at + trouble.lasts + kCatchUpSeconds;
-    day_.leastServed = std::max(0.0, day_.leastServed - (trouble.lasts + kOutageTail) / day_.seconds);
-    day_.troubles.push_back(trouble);
-    for (int i = 0; i < 3; ++i) addRace(trouble.at + between(-0.2, trouble.lasts));
+  // Faults of all control nodes exclude any other control fault until the nodes are back.
+  void addCoreFault(Fault fault) {
+    fault.at = kFirstFault;
+    for (const Lane& lane : lanes_) fault.at = std::max(fault.at, lane.freeAt);
+    if (fault.at + fault.duration + kCatchUpSeconds > lastEnd()) return;
+    for (Lane& lane : lanes_) lane.freeAt = fault.at + fault.duration + kCatchUpSeconds;
+    day_.minServedShare = std::max(0.0, day_.minServedShare - (fault.duration + kOutageTail) / day_.seconds);
+    day_.faults.push_back(fault);
+    for (int i = 0; i < 3; ++i) addRace(fault.at + between(-0.2, fault.duration));
   }
 
-  void addToControl(Trouble trouble) {
-    // Disks are lost on one lane only: a successor reads from a majority of the others.
-    Lane& lane = losesDisk(trouble.kind) || trouble.kind == TroubleKind::powerControl
+  void addControlFault(Fault fault) {
+    // Disk losses are confined to one lane, as a successor recovers from a majority of the other nodes.
+    Lane& lane = isDiskLoss(fault.kind) || fault.kind == FaultKind::powerControl
                      ? lanes_[0]
                      : lanes_[number(static_cast<std::uint32_t>(lanes_.size()))];
-    trouble.who = lane.slots[trouble.who % lane.slots.size()];
-    trouble.at = std::max(trouble.at, lane.freeAt + between(0, kGap));
-    shape(trouble);
-    const double end = endOf(trouble);
+    fault.target = lane.slots[fault.target % lane.slots.size()];
+    fault.at = std::max(fault.at, lane.freeAt + between(0, kGap));
+    setParameters(fault);
+    const double end = endOf(fault);
     if (end + kCatchUpSeconds > lastEnd()) return;
     lane.freeAt = end + kCatchUpSeconds;
-    day_.troubles.push_back(trouble);
-    if (cutsControl(trouble.kind)) addToCut(trouble);
-    if (trouble.kind == TroubleKind::diskFull || trouble.kind == TroubleKind::diskStall) {
-      for (int i = 0; i < 3; ++i) addRace(trouble.at + between(0, trouble.lasts));
+    day_.faults.push_back(fault);
+    if (isControlCut(fault.kind)) addDuringCut(fault);
+    if (fault.kind == FaultKind::diskFull || fault.kind == FaultKind::diskStall) {
+      for (int i = 0; i < 3; ++i) addRace(fault.at + between(0, fault.duration));
     }
-    if (losesDisk(trouble.kind) && fraction(chance_) < kSecondLossShare) addSecondLoss(lane);
+    if (isDiskLoss(fault.kind) && fraction(chance_) < kSecondLossShare) addSecondLoss(lane);
   }
 
-  void shape(Trouble& trouble) {
-    if (trouble.kind == TroubleKind::diskSlow) trouble.part = between(4, 30);
-    if (trouble.kind == TroubleKind::diskFull) trouble.lasts = between(2, 10);
-    if (trouble.kind == TroubleKind::resetControl) trouble.part = between(0.3, 1);
-    if (trouble.kind == TroubleKind::clockStep) trouble.part = fraction(chance_) < 0.5 ? -2 : 2;
-    if (losesDisk(trouble.kind)) trouble.part = between(0.3, 3);
-    const bool longCut = cutsControl(trouble.kind) && fraction(chance_) < kLongCutShare;
+  void setParameters(Fault& fault) {
+    if (fault.kind == FaultKind::diskSlow) fault.magnitude = between(4, 30);
+    if (fault.kind == FaultKind::diskFull) fault.duration = between(2, 10);
+    if (fault.kind == FaultKind::resetControl) fault.magnitude = between(0.3, 1);
+    if (fault.kind == FaultKind::clockStep) fault.magnitude = fraction(chance_) < 0.5 ? -2 : 2;
+    if (isDiskLoss(fault.kind)) fault.magnitude = between(0.3, 3);
+    const bool longCut = isControlCut(fault.kind) && fraction(chance_) < kLongCutShare;
     if (longCut) {
-      const double room = lastEnd() - kCatchUpSeconds - trouble.at;
-      trouble.lasts = std::max(trouble.lasts, std::min(kLongCut, room));
+      const double available = lastEnd() - kCatchUpSeconds - fault.at;
+      fault.duration = std::max(fault.duration, std::min(kLongCut, available));
     }
   }
 
-  [[nodiscard]] static double endOf(const Trouble& trouble) {
-    switch (trouble.kind) {
-      case TroubleKind::replaceControl:
-        return trouble.at + trouble.part;
-      case TroubleKind::replaceControlPlanned:
-        return trouble.at + 1;
-      case TroubleKind::killControl:
-        return trouble.at + kRestart;
+  [[nodiscard]] static double endOf(const Fault& fault) {
+    switch (fault.kind) {
+      case FaultKind::replaceControl:
+        return fault.at + fault.magnitude;
+      case FaultKind::replaceControlPlanned:
+        return fault.at + 1;
+      case FaultKind::killControl:
+        return fault.at + kRestart;
       default:
-        return trouble.at + trouble.lasts;
+        return fault.at + fault.duration;
     }
   }
 
-  // Sidecars that start beside the one that is cut off, and operators who ask it.
-  void addToCut(const Trouble& cut) {
-    if (cut.lasts < 3) return;
+  // Adds sidecars that start against the partitioned node and operators that send it changes.
+  void addDuringCut(const Fault& cut) {
+    if (cut.duration < 3) return;
     for (int i = 0; i < 2; ++i)
-      day_.troubles.push_back(
-          {TroubleKind::restartBeside, cut.at + between(2, cut.lasts), kRestart, number(1000), 0});
-    day_.troubles.push_back({TroubleKind::newService, cut.at + between(0, cut.lasts / 2), 0, cut.who, 0});
-    day_.troubles.push_back({TroubleKind::change, cut.at + between(0, cut.lasts), 0, cut.who, 0});
-    day_.troubles.push_back({TroubleKind::oldChange, cut.at + between(0, cut.lasts), 0, number(1000), 0});
-    addRace(cut.at + between(0, cut.lasts));
+      day_.faults.push_back(
+          {FaultKind::restartBeside, cut.at + between(2, cut.duration), kRestart, number(1000), 0});
+    day_.faults.push_back({FaultKind::newService, cut.at + between(0, cut.duration / 2), 0, cut.target, 0});
+    day_.faults.push_back({FaultKind::change, cut.at + between(0, cut.duration), 0, cut.target, 0});
+    day_.faults.push_back({FaultKind::oldChange, cut.at + between(0, cut.duration), 0, number(1000), 0});
+    addRace(cut.at + between(0, cut.duration));
   }
 
   void addSecondLoss(Lane& lane) {
-    constexpr TroubleKind kSecond[] = {TroubleKind::wipeControl, TroubleKind::powerControl,
-                                       TroubleKind::cutControl};
-    Trouble trouble{kSecond[number(3)], lane.freeAt, between(0.3, 5), number(1000), 0};
-    if (trouble.at + trouble.lasts + kCatchUpSeconds > lastEnd()) return;
-    trouble.who = lane.slots[trouble.who % lane.slots.size()];
-    lane.freeAt = trouble.at + trouble.lasts + kCatchUpSeconds;
-    day_.troubles.push_back(trouble);
+    constexpr FaultKind kSecond[] = {FaultKind::wipeControl, FaultKind::powerControl, FaultKind::cutControl};
+    Fault fault{kSecond[number(3)], lane.freeAt, between(0.3, 5), number(1000), 0};
+    if (fault.at + fault.duration + kCatchUpSeconds > lastEnd()) return;
+    fault.target = lane.slots[fault.target % lane.slots.size()];
+    lane.freeAt = fault.at + fault.duration + kCatchUpSeconds;
+    day_.faults.push_back(fault);
   }
 
   void addChanges() {
-    constexpr TroubleKind kChanges[] = {TroubleKind::change,     TroubleKind::change, TroubleKind::change,
-                                        TroubleKind::changeMany, TroubleKind::race,   TroubleKind::raceMany};
+    constexpr FaultKind kChanges[] = {FaultKind::change,     FaultKind::change, FaultKind::change,
+                                      FaultKind::changeMany, FaultKind::race,   FaultKind::raceMany};
     for (double at = 2; at < day_.seconds; at += between(1, 5))
-      day_.troubles.push_back({kChanges[number(6)], at, 0, number(1000), 0});
+      day_.faults.push_back({kChanges[number(6)], at, 0, number(1000), 0});
   }
 
   Day day_;
--- a/src/lab/mesh/day_soak.cpp
+++ b/src/lab/mesh/day_soak.cpp
@@ -1,5 +1,5 @@
-// Days for real processes, drawn from a seed: troubles that come in series and overlap. Of the control
-// processes one at a time is lost, with the time to catch up in between, or all of them are killed at once.
+// Generates days for real processes from a seed: series of overlapping faults. Control processes are lost one
+// at a time, with time to catch up in between, or all are killed at once.
 
 #include <algorithm>
 
@@ -9,32 +9,32 @@
 namespace rackroute::lab::mesh {
 namespace {
 
-constexpr double kFirst = 1;             // seconds
-constexpr double kBeforeEnd = 4;         // seconds without a further trouble, before the closing fault
-constexpr double kWithin = 0.5;          // seconds at most between the troubles of a series
+constexpr double kFirstFault = 1;        // seconds
+constexpr double kBeforeEnd = 4;         // seconds without further faults before the closing fault
+constexpr double kWithin = 0.5;          // seconds at most between the faults of a series
 constexpr double kBetweenSeries = 2;     // seconds at most
 constexpr double kLongestFreeze = 2;     // seconds
-constexpr double kAllKilledShare = 0.2;  // of the losses in the control plane
+constexpr double kAllKilledShare = 0.2;  // of the control plane faults
 constexpr std::uint32_t kLongestSeries = 6;
-constexpr std::uint64_t kCrowdEvery = 10;  // seeds
+constexpr std::uint64_t kCrowdEvery = 10;  // every so many seeds
 
 class SoakDrawer {
  public:
   SoakDrawer(std::uint64_t seed, const Day& size) : day_(size), chance_(chanceOf(seed, Purpose::troubles)) {
     day_.name = "soak-" + std::to_string(seed);
-    day_.clientsStay = true;
-    if (seed % kCrowdEvery == 0) day_.sidecars = kCrowd - day_.controls;
+    day_.keepConnections = true;
+    if (seed % kCrowdEvery == 0) day_.sidecars = kCrowdProcesses - day_.controls;
   }
 
   Day draw() {
     static constexpr Closing kClosings[] = {Closing::none, Closing::killAll, Closing::wipeOne};
     day_.closing = kClosings[number(std::size(kClosings))];
-    for (double at = kFirst; at < lastAt(); at += between(0.2, kBetweenSeries)) {
+    for (double at = kFirstFault; at < lastFaultAt(); at += between(0.2, kBetweenSeries)) {
       addSeries(at);
       addControlLoss(at);
     }
-    std::stable_sort(day_.troubles.begin(), day_.troubles.end(),
-                     [](const Trouble& a, const Trouble& b) { return a.at < b.at; });
+    std::stable_sort(day_.faults.begin(), day_.faults.end(),
+                     [](const Fault& a, const Fault& b) { return a.at < b.at; });
     return day_;
   }
 
@@ -43,44 +43,43 @@
   std::uint32_t number(std::size_t below) {
     return static_cast<std::uint32_t>(between(0, static_cast<double>(below) - 0.001));
   }
-  [[nodiscard]] double lastAt() const { return day_.seconds - kBeforeEnd - kCatchUpSeconds; }
+  [[nodiscard]] double lastFaultAt() const { return day_.seconds - kBeforeEnd - kCatchUpSeconds; }
 
-  /// Mostly on one machine: what a second signal meets that the first one began.
+  /// Mostly faults of one machine, so that a signal arrives while an earlier one is still being handled.
   void addSeries(double& at) {
-    static constexpr TroubleKind kKinds[] = {
-        TroubleKind::termSidecar, TroubleKind::killSidecar, TroubleKind::freezeSidecar,
-        TroubleKind::hangUp,      TroubleKind::release,     TroubleKind::serverCrash,
-        TroubleKind::serverSlow,  TroubleKind::serverLoses, TroubleKind::change,
-        TroubleKind::race,        TroubleKind::badChange,   TroubleKind::release};
+    static constexpr FaultKind kKinds[] = {
+        FaultKind::termSidecar, FaultKind::killSidecar, FaultKind::freezeSidecar, FaultKind::hangUp,
+        FaultKind::release,     FaultKind::serverCrash, FaultKind::serverSlow,    FaultKind::serverLoses,
+        FaultKind::change,      FaultKind::race,        FaultKind::badChange,     FaultKind::release};
     const std::uint32_t first = number(1000);
     const std::uint32_t length = 1 + number(kLongestSeries);
     for (std::uint32_t i = 0; i < length; ++i) {
-      Trouble trouble{kKinds[number(std::size(kKinds))], at, between(0.2, kLongestFreeze), first, 0.1};
-      if (fraction(chance_) < 0.3) trouble.who = number(1000);
-      if (trouble.kind == TroubleKind::serverSlow) trouble.part = between(2, 10);
-      day_.troubles.push_back(trouble);
+      Fault fault{kKinds[number(std::size(kKinds))], at, between(0.2, kLongestFreeze), first, 0.1};
+      if (fraction(chance_) < 0.3) fault.target = number(1000);
+      if (fault.kind == FaultKind::serverSlow) fault.magnitude = between(2, 10);
+      day_.faults.push_back(fault);
       at += between(0, kWithin);
     }
   }
 
   void addControlLoss(double at) {
-    if (at < controlsFreeAt_ || fraction(chance_) < 0.5) return;
+    if (at < nextControlFaultAt_ || fraction(chance_) < 0.5) return;
     const bool all = fraction(chance_) < kAllKilledShare;
     const std::uint32_t who = number(day_.controls);
     if (all) {
       for (std::uint32_t control = 0; control < day_.controls; ++control)
-        day_.troubles.push_back({TroubleKind::killControl, at, 0, control, 0});
+        day_.faults.push_back({FaultKind::killControl, at, 0, control, 0});
     } else if (fraction(chance_) < 0.5) {
-      day_.troubles.push_back({TroubleKind::wipeControl, at, between(0.2, kLongestFreeze), who, 0});
+      day_.faults.push_back({FaultKind::wipeControl, at, between(0.2, kLongestFreeze), who, 0});
     } else {
-      day_.troubles.push_back({TroubleKind::freezeControl, at, between(0.2, kLongestFreeze), who, 0});
+      day_.faults.push_back({FaultKind::freezeControl, at, between(0.2, kLongestFreeze), who, 0});
     }
-    controlsFreeAt_ = at + kLongestFreeze + kCatchUpSeconds;
+    nextControlFaultAt_ = at + kLongestFreeze + kCatchUpSeconds;
   }
 
   Day day_;
   Chance chance_;
-  double controlsFreeAt_ = 0;
+  double nextControlFaultAt_ = 0;
 };
 
 }  // namespace
--- a/src/lab/mesh/emulated_files.cpp
+++ b/src/lab/mesh/emulated_files.cpp
@@ -8,9 +8,9 @@
 using leveldb::Slice;
 using leveldb::Status;
 
-constexpr double kAllLostShare = 0.25;  // losses of power after which no unsynced write is there
+constexpr double kAllDroppedShare = 0.25;  // share of power losses that drop all unsynced writes of a file
 constexpr const char* kManifestPrefix = "/MANIFEST-";
-constexpr std::size_t kHalf = 2;  // a torn write has its first half only
+constexpr std::size_t kTornDivisor = 2;  // a torn write keeps its first half
 
 std::string folderOf(const std::string& path) { return path.substr(0, path.rfind('/')); }
 
@@ -19,8 +19,8 @@
 class Reader final : public leveldb::SequentialFile {
  public:
   explicit Reader(std::string contents) : contents_(std::move(contents)) {}
-  Status Read(std::size_t most, Slice* result, char* scratch) override {
-    const std::size_t size = contents_.copy(scratch, most, at_);
+  Status Read(std::size_t maxBytes, Slice* result, char* scratch) override {
+    const std::size_t size = contents_.copy(scratch, maxBytes, at_);
     at_ += size;
     *result = Slice(scratch, size);
     return Status::OK();
@@ -38,9 +38,9 @@
 class RandomReader final : public leveldb::RandomAccessFile {
  public:
   explicit RandomReader(std::string contents) : contents_(std::move(contents)) {}
-  Status Read(std::uint64_t offset, std::size_t most, Slice* result, char* scratch) const override {
+  Status Read(std::uint64_t offset, std::size_t maxBytes, Slice* result, char* scratch) const override {
     const std::size_t at = std::min(contents_.size(), static_cast<std::size_t>(offset));
-    *result = Slice(scratch, contents_.copy(scratch, most, at));
+    *result = Slice(scratch, contents_.copy(scratch, maxBytes, at));
     return Status::OK();
   }
 
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-/// Keeps what is appended until it is flushed, as LevelDB's own files do.
+/// Buffers appended data until it is flushed, like LevelDB's own writable files.
 class EmulatedFiles::Writer final : public leveldb::WritableFile {
  public:
   Writer(EmulatedFiles& files, FilePtr file, std::string syncedFolder)
@@ -75,7 +75,7 @@
  private:
   EmulatedFiles& files_;
   FilePtr file_;
-  std::string syncedFolder_;  // with the file; empty: none
+  std::string syncedFolder_;  // synced before the file; empty for none
   std::string buffer_;
 };
 
@@ -83,23 +83,23 @@
   return {this, [this](const std::string& folder) { return syncFolder(folder); }};
 }
 
-// --- what befalls the disk
+// --- faults of the disk
 
-Status EmulatedFiles::change() {
-  if (left_ && *left_ == 0) return Status::IOError("disk", "the process has ended");
-  if (left_) --*left_;
+Status EmulatedFiles::countChange() {
+  if (changesLeft_ && *changesLeft_ == 0) return Status::IOError("disk", "the process has ended");
+  if (changesLeft_) --*changesLeft_;
   ++changes_;
   return Status::OK();
 }
 
-void EmulatedFiles::restart(bool power, Chance& chance) {
-  left_.reset();
+void EmulatedFiles::restart(bool powerLoss, Chance& chance) {
+  changesLeft_.reset();
   scheduled_.clear();
-  if (power) losePower(chance);
+  if (powerLoss) losePower(chance);
 }
 
 void EmulatedFiles::wipe() {
-  const std::string dataFolder = *folders_.begin();  // what it holds sorts after it
+  const std::string dataFolder = *folders_.begin();  // sorts before its contents
   names_.clear();
   durableNames_.clear();
   folders_ = durableFolders_ = {dataFolder};
@@ -111,7 +111,7 @@
     if (fraction(chance) < 0.5) apply(change, durableNames_, durableFolders_);
   }
   unsyncedNames_.clear();
-  // A file in a folder whose own name is lost can't be reached any more.
+  // Files in a folder whose own name was lost are unreachable.
   std::erase_if(durableNames_,
                 [this](const auto& entry) { return durableFolders_.count(folderOf(entry.first)) == 0; });
   for (const auto& [name, file] : durableNames_) loseUnsynced(*file, chance);
@@ -119,17 +119,17 @@
   folders_ = durableFolders_;
 }
 
-// A write that is missing before one that is present leaves zeros in its place.
+// A dropped write before one that is kept leaves zeros in its place.
 void EmulatedFiles::loseUnsynced(File& file, Chance& chance) {
-  const bool allLost = fraction(chance) < kAllLostShare;
+  const bool allDropped = fraction(chance) < kAllDroppedShare;
   for (const Write& write : file.unsynced) {
-    const double fate = allLost ? 1 : fraction(chance);
-    if (fate >= 2.0 / 3) continue;
-    const bool torn = fate >= 1.0 / 3;
-    const std::size_t size = torn ? write.bytes.size() / kHalf : write.bytes.size();
-    // The file's length may cover what its blocks don't hold yet.
-    const bool longer = torn && fraction(chance) < 0.5;
-    const std::size_t end = write.at + (longer ? write.bytes.size() : size);
+    const double outcome = allDropped ? 1 : fraction(chance);
+    if (outcome >= 2.0 / 3) continue;
+    const bool torn = outcome >= 1.0 / 3;
+    const std::size_t size = torn ? write.bytes.size() / kTornDivisor : write.bytes.size();
+    // The file size may already include blocks that were not written.
+    const bool extended = torn && fraction(chance) < 0.5;
+    const std::size_t end = write.at + (extended ? write.bytes.size() : size);
     if (file.durable.size() < end) file.durable.resize(end, '\0');
     std::copy_n(write.bytes.begin(), size, file.durable.begin() + static_cast<std::ptrdiff_t>(write.at));
   }
@@ -148,17 +148,17 @@
 // --- contents
 
 Status EmulatedFiles::append(const FilePtr& file, const std::string& bytes) {
-  Status may = change();
-  if (!may.ok()) return may;
-  const std::string taken = full_ ? bytes.substr(0, bytes.size() / kHalf) : bytes;
-  file->unsynced.push_back({file->contents.size(), taken});
-  file->contents += taken;
+  Status status = countChange();
+  if (!status.ok()) return status;
+  const std::string written = full_ ? bytes.substr(0, bytes.size() / kTornDivisor) : bytes;
+  file->unsynced.push_back({file->contents.size(), written});
+  file->contents += written;
   return full_ ? Status::IOError("disk", "no space left") : Status::OK();
 }
 
 Status EmulatedFiles::sync(const FilePtr& file) {
-  Status may = change();
-  if (!may.ok()) return may;
+  Status status = countChange();
+  if (!status.ok()) return status;
   file->durable.append(file->contents, file->durable.size(), std::string::npos);  // files only grow
   file->unsynced.clear();
   return Status::OK();
@@ -178,17 +178,17 @@
   return Status::OK();
 }
 
-// LevelDB makes each file but the folder's lock once.
+// LevelDB creates each file only once, except for the lock file of the folder.
 Status EmulatedFiles::NewWritableFile(const std::string& name, leveldb::WritableFile** file) {
-  Status may = change();
-  if (!may.ok()) return may;
+  Status status = countChange();
+  if (!status.ok()) return status;
   if (folders_.count(folderOf(name)) == 0) return notFound(name);
-  const FilePtr made = std::make_shared<File>();
-  names_[name] = made;
-  note({NameChange::Kind::made, name, {}, made});
-  // LevelDB syncs the folder with each sync of a manifest, and with that of no other file.
+  const FilePtr created = std::make_shared<File>();
+  names_[name] = created;
+  recordNameChange({NameChange::Kind::created, name, {}, created});
+  // LevelDB syncs the folder together with a manifest, and with no other file.
   const bool isManifest = name.find(kManifestPrefix) != std::string::npos;
-  *file = new Writer(*this, made, isManifest ? folderOf(name) : std::string());
+  *file = new Writer(*this, created, isManifest ? folderOf(name) : std::string());
   return Status::OK();
 }
 
@@ -203,7 +203,7 @@
 
 void EmulatedFiles::apply(const NameChange& change, Names& names, std::set<std::string>& folders) {
   switch (change.kind) {
-    case NameChange::Kind::made:
+    case NameChange::Kind::created:
       names[change.name] = change.file;
       return;
     case NameChange::Kind::removed:
@@ -214,7 +214,7 @@
       names[change.name] = change.file;
       names.erase(change.from);
       return;
-    case NameChange::Kind::folderMade:
+    case NameChange::Kind::folderCreated:
       folders.insert(change.name);
       return;
     case NameChange::Kind::folderRenamed: {
@@ -232,8 +232,8 @@
 }
 
 Status EmulatedFiles::syncFolder(const std::string& folder) {
-  Status may = change();
-  if (!may.ok()) return may;
+  Status status = countChange();
+  if (!status.ok()) return status;
   if (folders_.count(folder) == 0) return notFound(folder);
   std::vector<NameChange> others;
   for (NameChange& change : unsyncedNames_) {
@@ -261,16 +261,16 @@
 }
 
 Status EmulatedFiles::RemoveFile(const std::string& name) {
-  Status may = change();
-  if (!may.ok()) return may;
+  Status status = countChange();
+  if (!status.ok()) return status;
   if (names_.erase(name) == 0) return notFound(name);
-  note({NameChange::Kind::removed, name, {}, nullptr});
+  recordNameChange({NameChange::Kind::removed, name, {}, nullptr});
   return Status::OK();
 }
 
 Status EmulatedFiles::RenameFile(const std::string& from, const std::string& to) {
-  Status may = change();
-  if (!may.ok()) return may;
+  Status status = countChange();
+  if (!status.ok()) return status;
   NameChange renamed{NameChange::Kind::renamed, to, from, nullptr};
   if (folders_.count(from) > 0) {
     renamed.kind = NameChange::Kind::folderRenamed;
@@ -280,30 +280,30 @@
     return notFound(from);
   }
   apply(renamed, names_, folders_);
-  note(std::move(renamed));
+  recordNameChange(std::move(renamed));
   return Status::OK();
 }
 
 Status EmulatedFiles::CreateDir(const std::string& folder) {
-  Status may = change();
-  if (!may.ok()) return may;
-  if (!folders_.insert(folder).second) return Status::IOError(folder, "is there already");
-  note({NameChange::Kind::folderMade, folder, {}, nullptr});
+  Status status = countChange();
+  if (!status.ok()) return status;
+  if (!folders_.insert(folder).second) return Status::IOError(folder, "already exists");
+  recordNameChange({NameChange::Kind::folderCreated, folder, {}, nullptr});
   return Status::OK();
 }
 
 Status EmulatedFiles::RemoveDir(const std::string& folder) {
-  Status may = change();
-  if (!may.ok()) return may;
+  Status status = countChange();
+  if (!status.ok()) return status;
   if (folders_.erase(folder) == 0) return notFound(folder);
-  note({NameChange::Kind::removed, folder, {}, nullptr});
+  recordNameChange({NameChange::Kind::removed, folder, {}, nullptr});
   return Status::OK();
 }
 
 // --- the rest
 
 Status EmulatedFiles::LockFile(const std::string&, leveldb::FileLock** lock) {
-  *lock = new NoLock;  // one process at a time uses the disk
+  *lock = new NoLock;  // only one process at a time uses the disk
   return Status::OK();
 }
 
@@ -325,7 +325,7 @@
 
 Status EmulatedFiles::NewLogger(const std::string&, leveldb::Logger** logger) {
   *logger = nullptr;
-  return Status::NotSupported("an emulated disk has no logs");
+  return Status::NotSupported("an emulated disk keeps no log files");
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/emulated_files.hpp
+++ b/src/lab/mesh/emulated_files.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-// A machine's disk as files, names and folders, in memory, for a LevelDB that runs on it in one thread. What
-// is on disk and what only the running machine sees are kept apart: a file lasts as its last sync covered it,
-// and a name that was made, renamed or removed lasts once its folder was synced. A loss of power leaves each
-// later write present, missing or torn, and keeps or loses each later change of a name by itself. It owns all
-// files; it draws from the chance that it is given and from nothing else.
+// An in-memory file system with crash semantics, as the environment of a single-threaded LevelDB. Synced and
+// unsynced state are kept apart: file contents are durable up to the last sync of the file, and created,
+// renamed or removed names are durable once their folder is synced. A power loss keeps, drops or tears each
+// unsynced write, and keeps or drops each unsynced name change independently. All randomness comes from the
+// Chance that the caller passes.
 
 #include <leveldb/env.h>
 
@@ -28,23 +28,23 @@
   explicit EmulatedFiles(std::string dataFolder)
       : folders_{dataFolder}, durableFolders_{std::move(dataFolder)} {}
 
-  /// As a store takes it; this must outlive it.
+  /// The file system for a Database, which must not outlive this object.
   rackroute::mesh::FileSystem fileSystem();
 
-  // --- what befalls the disk
+  // --- faults of the disk
 
-  /// Takes no more bytes, until told otherwise.
-  void full(bool isFull) { full_ = isFull; }
-  /// The process ends after so many further changes of files and names: the next one and all after it fail.
-  void endAfter(std::uint64_t changes) { left_ = changes; }
-  /// The files as the next process finds them. `power`: after a loss of power, else after the process's end.
-  void restart(bool power, Chance& chance);
-  /// The disk is lost with all that was on it.
+  /// While full, appends fail after half of their bytes.
+  void setFull(bool isFull) { full_ = isFull; }
+  /// Emulates a crash after this many further changes of files and names: all later ones fail.
+  void failAfter(std::uint64_t changes) { changesLeft_ = changes; }
+  /// Prepares the files for the next process, after a power loss or after the end of the process alone.
+  void restart(bool powerLoss, Chance& chance);
+  /// Removes everything from the disk.
   void wipe();
-  /// Changes of files and names so far.
+  /// Number of changes of files and names so far.
   [[nodiscard]] std::uint64_t changes() const { return changes_; }
-  /// What the database wants done in the background; to be called after each of its calls, and before it is
-  /// destroyed.
+  /// Runs the background work of the database. Call it after each call of the database and before destroying
+  /// it.
   void runScheduled();
 
   // --- leveldb::Env
@@ -74,39 +74,39 @@
     std::string bytes;
   };
   struct File {
-    std::string contents;         // as the running machine sees it
-    std::string durable;          // as its last sync covered it
-    std::vector<Write> unsynced;  // since, in order
+    std::string contents;         // as seen by the running process
+    std::string durable;          // as of the last sync
+    std::vector<Write> unsynced;  // since the last sync, in order
   };
   using FilePtr = std::shared_ptr<File>;
   using Names = std::map<std::string, FilePtr>;
-  /// A change of names that its folder's sync has not covered.
+  /// A name change whose folder has not been synced since.
   struct NameChange {
-    enum class Kind { made, removed, renamed, folderMade, folderRenamed };
-    Kind kind = Kind::made;
+    enum class Kind { created, removed, renamed, folderCreated, folderRenamed };
+    Kind kind = Kind::created;
     std::string name;  // renamed: the new one
     std::string from;  // renamed: the old one
-    FilePtr file;      // made, renamed
+    FilePtr file;      // created, renamed
   };
   class Writer;
 
-  /// Whether the process still runs; counts a change.
-  leveldb::Status change();
+  /// Counts a change; fails once the emulated process has crashed.
+  leveldb::Status countChange();
   leveldb::Status append(const FilePtr& file, const std::string& bytes);
   leveldb::Status sync(const FilePtr& file);
   leveldb::Status syncFolder(const std::string& folder);
-  void note(NameChange change) { unsyncedNames_.push_back(std::move(change)); }
+  void recordNameChange(NameChange change) { unsyncedNames_.push_back(std::move(change)); }
   void losePower(Chance& chance);
   static void loseUnsynced(File& file, Chance& chance);
   static void apply(const NameChange& change, Names& names, std::set<std::string>& folders);
 
-  Names names_;  // as the running machine sees them, by path
+  Names names_;  // as seen by the running process, by path
   std::set<std::string> folders_;
   Names durableNames_;
   std::set<std::string> durableFolders_;
   std::vector<NameChange> unsyncedNames_;
   std::deque<std::pair<void (*)(void*), void*>> scheduled_;
-  std::optional<std::uint64_t> left_;  // changes until the process ends
+  std::optional<std::uint64_t> changesLeft_;  // until the emulated crash
   std::uint64_t changes_ = 0;
   bool full_ = false;
 };
--- a/src/lab/mesh/judge.cpp
+++ b/src/lab/mesh/judge.cpp
@@ -5,115 +5,128 @@
 namespace rackroute::lab::mesh {
 namespace {
 
-constexpr Span kGoneAfter = std::chrono::milliseconds(500);  // after a client left, nobody works for it
-constexpr std::uint64_t kFewGone = 5;                        // requests that may begin all the same
-constexpr std::uint64_t kGonePart = 4;                       // one part in so many may still be at work
+constexpr Span kCancelTime =
+    std::chrono::milliseconds(500);                   // from a disconnect until its request must be cancelled
+constexpr std::uint64_t kMaxLateStarts = 5;           // starts tolerated after that time
+constexpr std::uint64_t kMaxStillRunningDivisor = 4;  // one in so many may still be running
 
 }  // namespace
 
-void Judge::left(Span now, std::uint64_t attempt) { attempts_[attempt].leftAt = now; }
+void Judge::clientDisconnected(Span now, std::uint64_t attempt) { attempts_[attempt].disconnectedAt = now; }
 
-void Judge::worked(Span now, std::uint64_t attempt, Span notWorked) {
-  const Attempt& made = attempts_[attempt];
-  if (made.sort != Sort::pure || made.leftAt == Span::max()) return;
-  const Span bound = made.leftAt + kGoneAfter;
-  if (now + notWorked <= bound) return;
-  ++abandoned_.mayHaveBeen;
-  if (now > bound) ++abandoned_.atWork;
+void Judge::executionFinished(Span now, std::uint64_t attempt, Span remaining) {
+  const Attempt& record = attempts_[attempt];
+  if (record.kind != RequestKind::pure || record.disconnectedAt == Span::max()) return;
+  const Span bound = record.disconnectedAt + kCancelTime;
+  if (now + remaining <= bound) return;
+  ++abandoned_.total;
+  if (now > bound) ++abandoned_.stillRunning;
 }
 
-void Judge::sent(Span now, std::uint64_t attempt, Sort sort, const std::string& key, int service) {
-  Attempt& made = attempts_[attempt];
-  made.sort = sort;
-  made.key = key;
-  made.service = service;
-  ++asked_;
+void Judge::requestSent(Span now, std::uint64_t attempt, RequestKind kind, const std::string& key,
+                        int service) {
+  Attempt& record = attempts_[attempt];
+  record.kind = kind;
+  record.key = key;
+  record.service = service;
+  ++requestCount_;
   requests_[service].push_back(now);
-  if (sort == Sort::keyed) keys_.try_emplace(key, Key{now, 0});
+  if (kind == RequestKind::keyed) keys_.try_emplace(key, Key{now, 0});
 }
 
-void Judge::arrived(Span now, std::uint64_t attempt, int service) {
-  if (++attempts_[attempt].arrivals > 1) further_[service].push_back(now);
+void Judge::requestArrived(Span now, std::uint64_t attempt, int service) {
+  if (++attempts_[attempt].arrivals > 1) retries_[service].push_back(now);
 }
 
-void Judge::ran(Span now, std::uint64_t attempt, int service, std::uint64_t seal, Span drainAcked) {
-  ++runs_;
+void Judge::executionStarted(Span now, std::uint64_t attempt, int service, std::uint64_t seal,
+                             Span drainAckedAt) {
+  ++executions_;
   const auto found = attempts_.find(attempt);
   if (found == attempts_.end() || found->second.service != service)
-    return failed(now, "ROUTE",
-                  "attempt " + std::to_string(attempt) + " ran at service " + std::to_string(service));
-  Attempt& made = found->second;
-  ++made.ran;
-  made.seals.insert(seal);
-  if (made.sort != Sort::keyed && made.leftAt != Span::max() && now > made.leftAt + kGoneAfter)
-    ++abandoned_.begun;
-  if (made.sort != Sort::pure && made.ran > 1) failed(now, "TWICE", "attempt " + std::to_string(attempt));
-  if (made.sort != Sort::pure && made.promised) failed(now, "REFUSED", "attempt " + std::to_string(attempt));
-  if (drainAcked >= Span{0} && now > drainAcked + bounds_.drain)
-    failed(now, "DRAIN", "attempt " + std::to_string(attempt));
-  if (made.sort != Sort::keyed) return;
-  Key& key = keys_[made.key];
+    return reportViolation(
+        now, "ROUTE",
+        "attempt " + std::to_string(attempt) + " was executed at service " + std::to_string(service));
+  Attempt& record = found->second;
+  ++record.executions;
+  record.seals.insert(seal);
+  if (record.kind != RequestKind::keyed && record.disconnectedAt != Span::max() &&
+      now > record.disconnectedAt + kCancelTime)
+    ++abandoned_.started;
+  if (record.kind != RequestKind::pure && record.executions > 1)
+    reportViolation(now, "TWICE", "attempt " + std::to_string(attempt));
+  if (record.kind != RequestKind::pure && record.refused)
+    reportViolation(now, "REFUSED", "attempt " + std::to_string(attempt));
+  if (drainAckedAt >= Span{0} && now > drainAckedAt + bounds_.drain)
+    reportViolation(now, "DRAIN", "attempt " + std::to_string(attempt));
+  if (record.kind != RequestKind::keyed) return;
+  Key& key = keys_[record.key];
   if (key.firstSeal == 0) {
     key.firstSeal = seal;
   } else if (now < key.firstSent + bounds_.keyWindow) {
-    failed(now, "TWICE", "key " + made.key);
+    reportViolation(now, "TWICE", "key " + record.key);
   }
 }
 
-void Judge::answered(Span now, std::uint64_t attempt, std::uint32_t status, std::uint64_t seal) {
+void Judge::responseReceived(Span now, std::uint64_t attempt, std::uint32_t status, std::uint64_t seal) {
   ++statuses_[status];
-  Attempt& made = attempts_[attempt];
-  const bool promise = status == 503 || status == 429 || status == 408 || status == 421;
-  if (promise && made.sort != Sort::pure && made.ran > 0)
-    failed(now, "REFUSED",
-           "attempt " + std::to_string(attempt) + " ran and was answered " + std::to_string(status));
-  made.promised = made.promised || promise;
+  Attempt& record = attempts_[attempt];
+  const bool guaranteesNotExecuted = status == 503 || status == 429 || status == 408 || status == 421;
+  if (guaranteesNotExecuted && record.kind != RequestKind::pure && record.executions > 0)
+    reportViolation(
+        now, "REFUSED",
+        "attempt " + std::to_string(attempt) + " was executed and answered " + std::to_string(status));
+  record.refused = record.refused || guaranteesNotExecuted;
   if (status != 200) return;
-  ++served_;
-  if (made.sort != Sort::keyed) {
-    if (made.seals.count(seal) == 0) failed(now, "MIXED", "attempt " + std::to_string(attempt));
+  ++successes_;
+  if (record.kind != RequestKind::keyed) {
+    if (record.seals.count(seal) == 0) reportViolation(now, "MIXED", "attempt " + std::to_string(attempt));
     return;
   }
-  if (made.ran == 0) ++repeats_;
-  if (keys_[made.key].firstSeal != seal) failed(now, "MIXED", "key " + made.key);
+  if (record.executions == 0) ++replayedResponses_;
+  if (keys_[record.key].firstSeal != seal) reportViolation(now, "MIXED", "key " + record.key);
 }
 
-void Judge::used(Span now, std::uint32_t sidecar, std::uint64_t life, std::uint64_t generation,
-                 std::uint64_t least) {
-  auto& [heldLife, held] = inForce_[sidecar];
-  if (heldLife == life && generation < held)
-    failed(now, "CONFIG",
-           "sidecar " + std::to_string(sidecar) + " went back from " + std::to_string(held) + " to " +
-               std::to_string(generation));
-  if (generation < least)
-    failed(now, "CONFIG",
-           "sidecar " + std::to_string(sidecar) + " uses " + std::to_string(generation) + ", " +
-               std::to_string(least) + " is in force");
-  heldLife = life;
-  held = generation;
+void Judge::routeVersionUsed(Span now, std::uint32_t sidecar, std::uint64_t incarnation,
+                             std::uint64_t generation, std::uint64_t minimum) {
+  auto& [lastIncarnation, lastGeneration] = routeVersions_[sidecar];
+  if (lastIncarnation == incarnation && generation < lastGeneration)
+    reportViolation(now, "CONFIG",
+                    "sidecar " + std::to_string(sidecar) + " reverted from version " +
+                        std::to_string(lastGeneration) + " to " + std::to_string(generation));
+  if (generation < minimum)
+    reportViolation(now, "CONFIG",
+                    "sidecar " + std::to_string(sidecar) + " uses version " + std::to_string(generation) +
+                        ", " + std::to_string(minimum) + " or later is required");
+  lastIncarnation = incarnation;
+  lastGeneration = generation;
 }
 
-void Judge::end() {
-  if (abandoned_.begun > kFewGone)
-    failed({}, "GONE", std::to_string(abandoned_.begun) + " requests began after their clients had left");
-  if (abandoned_.atWork * kGonePart > abandoned_.mayHaveBeen)
-    failed({}, "GONE",
-           "of " + std::to_string(abandoned_.mayHaveBeen) + " runs for clients that had left " +
-               std::to_string(abandoned_.atWork) + " went on");
-  for (const auto& [service, further] : further_) {
+void Judge::finish() {
+  if (abandoned_.started > kMaxLateStarts)
+    reportViolation(
+        {}, "GONE",
+        std::to_string(abandoned_.started) + " requests were started after their clients had disconnected");
+  if (abandoned_.stillRunning * kMaxStillRunningDivisor > abandoned_.total)
+    reportViolation({}, "GONE",
+                    "of " + std::to_string(abandoned_.total) +
+                        " executions whose clients had disconnected, " +
+                        std::to_string(abandoned_.stillRunning) + " kept running");
+  // In each retry window the retries must not exceed the allowed ratio of the requests in a recent window.
+  for (const auto& [service, retries] : retries_) {
     const std::vector<Span>& all = requests_[service];
-    const auto within = [&](const std::vector<Span>& times, Span from, Span to) {
+    const auto countBetween = [&](const std::vector<Span>& times, Span from, Span to) {
       return std::upper_bound(times.begin(), times.end(), to) -
              std::lower_bound(times.begin(), times.end(), from);
     };
-    for (const Span at : further) {
+    for (const Span at : retries) {
       const Span from = at - bounds_.retryWindow;
       const Span half = bounds_.retryWindow / 2;
-      const auto most = std::max({within(all, from, at), within(all, from - bounds_.retryWindow, from),
-                                  within(all, from - half, at - half)});
-      const double may = bounds_.retryRatio * static_cast<double>(most) + bounds_.retrySlack;
-      if (static_cast<double>(within(further, from, at)) <= may) continue;
-      failed(at, "BUDGET", "service " + std::to_string(service));
+      const auto peakRequests =
+          std::max({countBetween(all, from, at), countBetween(all, from - bounds_.retryWindow, from),
+                    countBetween(all, from - half, at - half)});
+      const double allowed = bounds_.retryRatio * static_cast<double>(peakRequests) + bounds_.retrySlack;
+      if (static_cast<double>(countBetween(retries, from, at)) <= allowed) continue;
+      reportViolation(at, "BUDGET", "service " + std::to_string(service));
       break;
     }
   }
--- a/src/lab/mesh/judge.hpp
+++ b/src/lab/mesh/judge.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The rules, judged from what clients, servers and operators of an emulated day saw. It owns the record of
-// that and knows nothing of the mesh's parts.
+// Checks the rules of the mesh against what clients, servers and operators observe during a day. The judge is
+// independent of the implementation of the mesh.
 
 #include <cstdint>
 #include <deque>
@@ -14,13 +14,13 @@
 
 namespace rackroute::lab::mesh {
 
-struct Broken {
+struct Violation {
   std::string rule;
   double at = 0;
-  std::string what;
+  std::string detail;
 };
 
-enum class Sort { pure, effectful, keyed };
+enum class RequestKind { pure, effectful, keyed };
 
 class Judge {
  public:
@@ -31,51 +31,57 @@
   };
   explicit Judge(Bounds bounds) : bounds_(bounds) {}
 
-  void sent(Span now, std::uint64_t attempt, Sort sort, const std::string& key, int service);
-  /// A server begins to work on it; seal: of this run alone.
-  void ran(Span now, std::uint64_t attempt, int service, std::uint64_t seal, Span drainAcked);
-  void arrived(Span now, std::uint64_t attempt, int service);
-  /// seal: 0 without one.
-  void answered(Span now, std::uint64_t attempt, std::uint32_t status, std::uint64_t seal);
-  /// Its client closed the connection and waits for no answer.
-  void left(Span now, std::uint64_t attempt);
-  /// A server was at work on it until now, or would have been for that much longer had it not been told to
-  /// stop.
-  void worked(Span now, std::uint64_t attempt, Span notWorked);
-  void used(Span now, std::uint32_t sidecar, std::uint64_t life, std::uint64_t generation,
-            std::uint64_t least);
-  void lost(Span now, const std::string& what) { broken_.push_back({"LOST", seconds(now), what}); }
-  void failed(Span now, const std::string& rule, const std::string& what) {
-    broken_.push_back({rule, seconds(now), what});
+  void requestSent(Span now, std::uint64_t attempt, RequestKind kind, const std::string& key, int service);
+  /// A server starts to execute the request. The seal identifies this execution; drainAckedAt is negative
+  /// while the server's drain has not been acknowledged.
+  void executionStarted(Span now, std::uint64_t attempt, int service, std::uint64_t seal, Span drainAckedAt);
+  void requestArrived(Span now, std::uint64_t attempt, int service);
+  /// The seal is 0 for a response without one.
+  void responseReceived(Span now, std::uint64_t attempt, std::uint32_t status, std::uint64_t seal);
+  /// The client closed its connection before a response.
+  void clientDisconnected(Span now, std::uint64_t attempt);
+  /// The execution ended now; if it was cancelled, it would have taken another `remaining`.
+  void executionFinished(Span now, std::uint64_t attempt, Span remaining);
+  /// A sidecar routes by a version of a route that must be at least `minimum`.
+  void routeVersionUsed(Span now, std::uint32_t sidecar, std::uint64_t incarnation, std::uint64_t generation,
+                        std::uint64_t minimum);
+  void reportLoss(Span now, const std::string& detail) {
+    violations_.push_back({"LOST", seconds(now), detail});
   }
-  void end();
-  [[nodiscard]] const std::vector<Broken>& broken() const { return broken_; }
-  [[nodiscard]] std::uint64_t asked() const { return asked_; }
-  [[nodiscard]] std::uint64_t servedWhole() const { return served_; }
-  [[nodiscard]] std::uint64_t runs() const { return runs_; }
-  /// Runs for clients that had left half a second before, and those that would have lasted so long.
-  [[nodiscard]] std::uint64_t abandonedAtWork() const { return abandoned_.atWork; }
-  [[nodiscard]] std::uint64_t abandonedThatMayHaveBeen() const { return abandoned_.mayHaveBeen; }
-  [[nodiscard]] std::uint64_t repeatsAnswered() const { return repeats_; }
+  void reportViolation(Span now, const std::string& rule, const std::string& detail) {
+    violations_.push_back({rule, seconds(now), detail});
+  }
+  /// Checks the rules that need the whole day's record.
+  void finish();
+  [[nodiscard]] const std::vector<Violation>& violations() const { return violations_; }
+  [[nodiscard]] std::uint64_t requests() const { return requestCount_; }
+  [[nodiscard]] std::uint64_t successes() const { return successes_; }
+  [[nodiscard]] std::uint64_t executions() const { return executions_; }
+  /// Executions still running half a second after their client disconnected.
+  [[nodiscard]] std::uint64_t abandonedStillRunning() const { return abandoned_.stillRunning; }
+  /// As above, and those that would still have been running had they not been cancelled.
+  [[nodiscard]] std::uint64_t abandonedTotal() const { return abandoned_.total; }
+  /// Successful responses to keyed attempts that were not executed themselves.
+  [[nodiscard]] std::uint64_t replayedResponses() const { return replayedResponses_; }
   [[nodiscard]] const std::map<std::uint32_t, std::uint64_t>& statuses() const { return statuses_; }
 
  private:
   static double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
   struct Attempt {
-    Sort sort = Sort::pure;
+    RequestKind kind = RequestKind::pure;
     std::string key;
     int service = 0;
-    std::uint32_t ran = 0;
+    std::uint32_t executions = 0;
     std::uint32_t arrivals = 0;
-    bool promised = false;  // that it has not run and never will
+    bool refused = false;  // answered with a status that guarantees it is never executed
     std::set<std::uint64_t> seals;
-    Span leftAt = Span::max();  // when its client left
+    Span disconnectedAt = Span::max();  // when its client closed the connection
   };
-  /// Of requests whose clients had left, kGoneAfter (half a second) after that.
+  /// Requests whose clients had disconnected more than kCancelTime before.
   struct Abandoned {
-    std::uint64_t begun = 0;        // servers began to work on them
-    std::uint64_t atWork = 0;       // of those that may be repeated: servers were still at work on them
-    std::uint64_t mayHaveBeen = 0;  // likewise, or would have been had they not been told to stop
+    std::uint64_t started = 0;       // executions that started; requests without a key only
+    std::uint64_t stillRunning = 0;  // pure requests that were still running
+    std::uint64_t total = 0;         // pure requests that were, or without cancellation would have been
   };
   struct Key {
     Span firstSent{};
@@ -84,17 +90,17 @@
   Bounds bounds_;
   std::map<std::uint64_t, Attempt> attempts_;
   std::map<std::string, Key> keys_;
-  std::map<int, std::vector<Span>> requests_;
-  std::map<int, std::vector<Span>> further_;
+  std::map<int, std::vector<Span>> requests_;  // times, by service
+  std::map<int, std::vector<Span>> retries_;   // times of repeated arrivals, by service
   std::map<std::uint32_t, std::pair<std::uint64_t, std::uint64_t>>
-      inForce_;  // life and generation by sidecar
+      routeVersions_;  // incarnation and generation by sidecar
   Abandoned abandoned_;
-  std::vector<Broken> broken_;
+  std::vector<Violation> violations_;
   std::map<std::uint32_t, std::uint64_t> statuses_;
-  std::uint64_t asked_ = 0;
-  std::uint64_t served_ = 0;
-  std::uint64_t runs_ = 0;
-  std::uint64_t repeats_ = 0;
+  std::uint64_t requestCount_ = 0;
+  std::uint64_t successes_ = 0;
+  std::uint64_t executions_ = 0;
+  std::uint64_t replayedResponses_ = 0;
 };
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/orders.cpp
+++ b/src/lab/mesh/orders.cpp
@@ -29,7 +29,7 @@
   return value;
 }
 
-/// The first numbers are of the routes that clients ask for.
+/// The lowest numbers are the routes that receive requests.
 json routeByNumber(std::uint32_t number, std::uint64_t version) {
   if (number < kRoutes.size()) return routeValue(kRoutes[number], version);
   return idleRoute(number - static_cast<std::uint32_t>(kRoutes.size()), version);
@@ -53,7 +53,7 @@
   return no;
 }
 
-OrderNo OrderLedger::first(std::uint32_t idleRoutes) {
+OrderNo OrderLedger::initialConfig(std::uint32_t idleRoutes) {
   routeCount_ = kRoutes.size() + idleRoutes;
   json services = json::array();
   for (const int service : {0, 1}) services.push_back(serviceValue(serviceName(service), 1));
@@ -66,7 +66,7 @@
   json routes = json::array();
   for (const auto& [number, version] : versions) {
     json value = routeByNumber(number, version);
-    value["ordered_by"] = orders_.size() + 1;  // so that no two orders give the same value
+    value["ordered_by"] = orders_.size() + 1;  // distinguishes the values of different orders
     if (!valid) value["timeout"] = "0ms";
     routes.push_back(std::move(value));
   }
@@ -79,7 +79,7 @@
   const OrderNo no = change(versions, true);
   Order& order = orders_.at(no);
   for (const auto& [at, value] : order.values) {
-    if (newestAt(at.key, now) > at.version) order.overtaken.insert(at);
+    if (newestAt(at.key, now) > at.version) order.superseded.insert(at);
   }
   return no;
 }
@@ -96,15 +96,15 @@
   return add({}, json::array(), json::array({std::move(value)}));
 }
 
-// One fault shows at many sidecars: it is told once for each subject.
-void OrderLedger::failed(Span now, const char* check, const std::string& subject, const std::string& what) {
-  if (!told_.insert(check + subject).second) return;
-  judge_.failed(now, std::string("CONFIG ") + check, subject + what);
+void OrderLedger::reportOnce(Span now, const char* check, const std::string& subject,
+                             const std::string& detail) {
+  if (!reported_.insert(check + subject).second) return;
+  judge_.reportViolation(now, std::string("CONFIG ") + check, subject + detail);
 }
 
-// Guards the rule against what the control plane may forget: an order on a version far below the newest ones
-// is acknowledged without effect.
-bool OrderLedger::remembered(const Register& at) const {
+// Exempts versions that the control plane may have forgotten: an order with a version far below the newest
+// ones is acknowledged without effect.
+bool OrderLedger::isRemembered(const Register& at) const {
   const auto found = acknowledgedVersions_.find(at.key);
   if (found == acknowledgedVersions_.end()) return true;
   const auto later = std::distance(found->second.upper_bound(at.version), found->second.end());
@@ -118,33 +118,36 @@
   return sent == values->second.end() ? nullptr : &orders_.at(sent->second);
 }
 
-// Whatever is acknowledged, in force or read back has been decided, and a version is decided once.
-void OrderLedger::stands(Span now, const Register& at, const std::string& value, const std::string& where) {
+// A value that is acknowledged, applied or read back has been decided, and each version is decided only once.
+void OrderLedger::checkDecided(Span now, const Register& at, const std::string& value,
+                               const std::string& where) {
   const Order* const order = orderOf(at, value);
-  if (order == nullptr) return failed(now, "unsent", textOf(at), " is " + where + " as it was never sent");
-  if (!order->valid) failed(now, "refused in force", textOf(at), ", invalid, is " + where);
-  if (order->refused)
-    failed(now, "refused in force", textOf(at),
-           " of refused order " + std::to_string(order->no) + " is " + where);
-  const auto [standing, first] = standing_.try_emplace(at, value);
-  if (first || standing->second == value) return;
-  failed(now, "two values", textOf(at),
-         ": orders " + std::to_string(order->no) + " (" + where + ") and " +
-             std::to_string(sent_.at(at).at(standing->second)));
-}
-
-void OrderLedger::told(Span now, OrderNo no) {
+  if (order == nullptr)
+    return reportOnce(now, "unsent", textOf(at), " is " + where + " with a value that was never sent");
+  if (!order->valid) reportOnce(now, "refused in force", textOf(at), ", which is invalid, is " + where);
+  if (order->rejected)
+    reportOnce(now, "refused in force", textOf(at),
+               " of rejected order " + std::to_string(order->no) + " is " + where);
+  const auto [decided, inserted] = decided_.try_emplace(at, value);
+  if (inserted || decided->second == value) return;
+  reportOnce(now, "two values", textOf(at),
+             ": orders " + std::to_string(order->no) + " (" + where + ") and " +
+                 std::to_string(sent_.at(at).at(decided->second)));
+}
+
+void OrderLedger::acknowledgedByControl(Span now, OrderNo no) {
   const Order& order = orders_.at(no);
-  if (!order.valid) failed(now, "invalid", "order " + std::to_string(no), " was acknowledged");
+  if (!order.valid) reportOnce(now, "invalid", "order " + std::to_string(no), " was acknowledged");
   for (const auto& [at, value] : order.values) {
-    if (remembered(at)) stands(now, at, value, "acknowledged");
+    if (isRemembered(at)) checkDecided(now, at, value, "acknowledged");
   }
 }
 
-void OrderLedger::answered(Span now, OrderNo no, std::uint32_t status) {
+void OrderLedger::responseReceived(Span now, OrderNo no, std::uint32_t status) {
   Order& order = orders_.at(no);
   if (status == 200) {
-    if (order.refused) failed(now, "both answers", "order " + std::to_string(no), " was refused before");
+    if (order.rejected)
+      reportOnce(now, "both answers", "order " + std::to_string(no), " was rejected before");
     if (!order.acknowledged) ++acknowledged_;
     order.acknowledged = true;
     for (const auto& entry : order.values) {
@@ -157,55 +160,58 @@
   }
   if (status < 400 || status >= 500) return;
   if (order.acknowledged)
-    failed(now, "both answers", "order " + std::to_string(no), " was acknowledged before");
-  if (!order.refused) ++refused_;
-  order.refused = true;
+    reportOnce(now, "both answers", "order " + std::to_string(no), " was acknowledged before");
+  if (!order.rejected) ++rejected_;
+  order.rejected = true;
   for (const auto& [at, value] : order.values) {
-    const auto standing = standing_.find(at);
-    if (standing != standing_.end() && standing->second == value)
-      failed(now, "refused in force", textOf(at), " of order " + std::to_string(no) + " stands");
+    const auto decided = decided_.find(at);
+    if (decided != decided_.end() && decided->second == value)
+      reportOnce(now, "refused in force", textOf(at), " of order " + std::to_string(no) + " was decided");
   }
 }
 
-void OrderLedger::inForce(Span now, std::size_t sidecar, std::uint64_t life, const Register& at,
-                          const std::string& value) {
+void OrderLedger::valueApplied(Span now, std::size_t sidecar, std::uint64_t incarnation, const Register& at,
+                               const std::string& value) {
   const std::pair<std::size_t, std::string> place{sidecar, at.key};
-  const auto held = held_.find(place);
-  if (held != held_.end() && held->second.first == life) {
-    const Register& before = held->second.second;
-    if (before == at && heldValue_[place] == value) return;
+  const auto last = applied_.find(place);
+  if (last != applied_.end() && last->second.first == incarnation) {
+    const Register& before = last->second.second;
+    if (before == at && appliedValues_[place] == value) return;
     if (before.version > at.version)
-      failed(now, "went back", textOf(before),
-             " became " + std::to_string(at.version) + " at sidecar " + std::to_string(sidecar));
-    if (before == at) failed(now, "value changed", textOf(at), " at sidecar " + std::to_string(sidecar));
+      reportOnce(now, "went back", textOf(before),
+                 " was replaced by version " + std::to_string(at.version) + " at sidecar " +
+                     std::to_string(sidecar));
+    if (before == at) reportOnce(now, "value changed", textOf(at), " at sidecar " + std::to_string(sidecar));
   }
-  held_[place] = {life, at};
-  heldValue_[place] = value;
+  applied_[place] = {incarnation, at};
+  appliedValues_[place] = value;
   const Order* const order = orderOf(at, value);
-  if (order != nullptr && order->overtaken.contains(at))
-    failed(now, "old in force", textOf(at),
-           " came into force at sidecar " + std::to_string(sidecar) + " after a later one was acknowledged");
-  stands(now, at, value, "in force at sidecar " + std::to_string(sidecar));
+  if (order != nullptr && order->superseded.contains(at))
+    reportOnce(
+        now, "old in force", textOf(at),
+        " came into force at sidecar " + std::to_string(sidecar) + " after a later one was acknowledged");
+  checkDecided(now, at, value, "in force at sidecar " + std::to_string(sidecar));
 }
 
-void OrderLedger::read(Span now, const json& answer, const Floor& floor, const std::string& rule) {
-  Floor told;
+void OrderLedger::configRead(Span now, const json& answer, const MinVersions& minimum,
+                             const std::string& rule) {
+  MinVersions versions;
   const auto take = [&](const std::string& kind, const json& value) {
     const Register at{kind + value.at("name").get<std::string>(), versionIn(value)};
-    told[at.key] = at.version;
-    stands(now, at, value.dump(), "read back");
+    versions[at.key] = at.version;
+    checkDecided(now, at, value.dump(), "read back");
   };
   for (const json& service : answer.at("service_list")) take("service/", service);
   for (const json& host : answer.at("host_map")) {
     for (const json& route : host.at("path_routes")) take("route/", route);
   }
-  for (const auto& [key, least] : floor) {
-    const auto found = told.find(key);
-    const std::uint64_t version = found == told.end() ? 0 : found->second;
-    if (version >= least) continue;
-    judge_.failed(now, rule,
-                  key + " is read as version " + std::to_string(version) + ", " + std::to_string(least) +
-                      " was acknowledged");
+  for (const auto& [key, required] : minimum) {
+    const auto found = versions.find(key);
+    const std::uint64_t version = found == versions.end() ? 0 : found->second;
+    if (version >= required) continue;
+    judge_.reportViolation(now, rule,
+                           key + " was read as version " + std::to_string(version) + ", " +
+                               std::to_string(required) + " was acknowledged");
   }
 }
 
@@ -217,27 +223,30 @@
   return after == found->second.begin() ? 0 : std::prev(after)->second;
 }
 
-Floor OrderLedger::floorAt(Span time) const {
-  Floor floor;
+MinVersions OrderLedger::minVersionsAt(Span time) const {
+  MinVersions versions;
   for (const auto& entry : acknowledgedAt_) {
-    if (const std::uint64_t version = newestAt(entry.first, time); version > 0) floor[entry.first] = version;
+    if (const std::uint64_t version = newestAt(entry.first, time); version > 0)
+      versions[entry.first] = version;
   }
-  return floor;
+  return versions;
 }
 
-// A race's loser may hear of its loss before the winner hears of its win. A winner that got no answer to its
-// last try may have won too.
-void OrderLedger::end(Span now) {
+// A rejection is justified if another valid order for the same version was acknowledged, or may have been
+// because its last attempt got no response.
+void OrderLedger::finish(Span now) {
   for (const auto& [no, order] : orders_) {
-    if (!order.refused || !order.valid) continue;
-    const bool rivalled = std::any_of(order.values.begin(), order.values.end(), [&](const auto& entry) {
-      const auto& rivals = sent_.at(entry.first);
-      return std::any_of(rivals.begin(), rivals.end(), [&](const auto& rival) {
-        const Order& other = orders_.at(rival.second);
-        return other.no != order.no && other.valid && (other.acknowledged || !other.refused);
+    if (!order.rejected || !order.valid) continue;
+    const bool justified = std::any_of(order.values.begin(), order.values.end(), [&](const auto& entry) {
+      const auto& conflicting = sent_.at(entry.first);
+      return std::any_of(conflicting.begin(), conflicting.end(), [&](const auto& candidate) {
+        const Order& other = orders_.at(candidate.second);
+        return other.no != order.no && other.valid && (other.acknowledged || !other.rejected);
       });
     });
-    if (!rivalled) failed(now, "false refusal", "order " + std::to_string(no), " had no rival that stands");
+    if (!justified)
+      reportOnce(now, "false refusal", "order " + std::to_string(no),
+                 " conflicts with no order that may have succeeded");
   }
 }
 
--- a/src/lab/mesh/process_clients.hpp
+++ b/src/lab/mesh/process_clients.hpp
@@ -43,13 +43,13 @@
     std::uint32_t machine = 0;
     bool keyed = false;
   };
-  void ask(std::uint32_t machine, const Wanted& wanted);
-  void answered(std::uint32_t machine, const Wanted& wanted, std::uint64_t attempt,
+  void ask(std::uint32_t machine, const LoadRequest& wanted);
+  void answered(std::uint32_t machine, const LoadRequest& wanted, std::uint64_t attempt,
                 const std::shared_ptr<const http::Message>& answer);
   void judgeEnd(std::uint32_t machine, std::uint64_t attempt, Span sentAt,
                 rackroute::mesh::RequestOutcome how);
-  void check(const Wanted& wanted, std::uint64_t attempt, const http::Message& answer);
-  void again(const Wanted& wanted);
+  void check(const LoadRequest& wanted, std::uint64_t attempt, const http::Message& answer);
+  void again(const LoadRequest& wanted);
   [[nodiscard]] std::uint32_t anySidecar() {
     return context_.machines.sidecar(static_cast<std::uint32_t>(fraction(chance_) * context_.day.sidecars));
   }
--- a/src/lab/mesh/process_operators.cpp
+++ b/src/lab/mesh/process_operators.cpp
@@ -25,9 +25,10 @@
 }
 
 void ProcessOperators::begin() {
-  patch(0, table_.firstItems(context_.day.idleRoutes), [this](std::uint32_t status) {
-    if (status != 200) return context_.judge.lost(context_.now(), "the first items were not acknowledged");
-    table_.acknowledgedFirst(context_.now());
+  patch(0, table_.initialConfig(context_.day.idleRoutes), [this](std::uint32_t status) {
+    if (status != 200)
+      return context_.judge.reportLoss(context_.now(), "the first items were not acknowledged");
+    table_.initialConfigAcknowledged(context_.now());
     context_.tell("the configuration is acknowledged");
   });
 }
@@ -45,14 +46,14 @@
 
 void ProcessOperators::change(std::uint32_t who, bool race, bool bad) {
   const std::string name = kRoutes[who % kRoutes.size()].name;
-  const std::uint64_t generation = table_.next(who);
+  const std::uint64_t generation = table_.nextVersion(who);
   for (int operatorNo = 0; operatorNo < (race ? 2 : 1); ++operatorNo) {
     patch((who + static_cast<std::uint32_t>(operatorNo)) % context_.day.controls,
           table_.change(who, generation, operatorNo, bad),
           [this, name, generation, bad](std::uint32_t status) {
             if (bad && status == 200)
-              context_.judge.failed(context_.now(), "CONFIG", "an invalid change was acknowledged");
-            if (status == 200 && !bad) table_.acknowledged(context_.now(), name, generation);
+              context_.judge.reportViolation(context_.now(), "CONFIG", "an invalid change was acknowledged");
+            if (status == 200 && !bad) table_.changeAcknowledged(context_.now(), name, generation);
           });
   }
 }
@@ -61,7 +62,7 @@
   call("GET", control, "",
        [this, control, until, done](RequestOutcome, const std::shared_ptr<const http::Message>& answer) {
          if (answer && answer->status() == 200) {
-           table_.readBack(context_.now(), json::parse(answer->body()), context_.judge);
+           table_.checkReadBack(context_.now(), json::parse(answer->body()), context_.judge);
            context_.tell("read back from " + context_.machines.nameOf(control) + ": " +
                          std::to_string(answer->body().size()) + " bytes");
            return done();
@@ -72,7 +73,7 @@
            });
            return;
          }
-         context_.judge.lost(context_.now(), "no answer to the reading back");
+         context_.judge.reportLoss(context_.now(), "no answer to the reading back");
          done();
        });
 }
--- a/src/lab/mesh/process_operators.hpp
+++ b/src/lab/mesh/process_operators.hpp
@@ -20,7 +20,7 @@
   void change(std::uint32_t who, bool race, bool bad);
   /// Reads back and judges it; done: after an answer, or once until is over.
   void readBack(std::uint32_t control, Span until, const std::function<void()>& done);
-  [[nodiscard]] const OperatorBook& table() const { return table_; }
+  [[nodiscard]] const OperatorRecord& table() const { return table_; }
 
  private:
   void patch(std::uint32_t control, const std::string& body, const std::function<void(std::uint32_t)>& done);
@@ -28,7 +28,7 @@
             rackroute::mesh::HttpClient::Callback done);
 
   ProcessContext& context_;
-  OperatorBook table_;
+  OperatorRecord table_;
 };
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -79,7 +79,7 @@
 void ProcessServers::beat(std::uint32_t machine, std::uint64_t life) {
   Server& server = servers_.at(machine);
   if (server.lives != life || !server.up) return;
-  context_.loop.in(kBeat, [this, machine, life] { beat(machine, life); });
+  context_.loop.in(kHeartbeatInterval, [this, machine, life] { beat(machine, life); });
   const json body{{"address", context_.machines.at(machine, Port::server).value},
                   {"details",
                    {{"target", serviceName(context_.machines.serviceOf(machine))},
@@ -99,7 +99,7 @@
         if (then.lives != life || !drains || then.drainAcked >= Span{0}) return;
         if (how != RequestOutcome::completed || answer->status() / 100 != 2) return;
         then.drainAcked = context_.now();
-        context_.loop.in(kDrain + 500ms, [this, machine, life] { signOff(machine, life); });
+        context_.loop.in(kDrainTime + 500ms, [this, machine, life] { signOff(machine, life); });
       });
 }
 
@@ -125,7 +125,7 @@
   if (!server.up) return connection->end(sidecar::Reason::cut);
   if (expects && *expects != server.id) return connection->respond(421, named, "");
   checkUnchanged(*attempt, request);
-  context_.judge.arrived(context_.now(), *attempt, context_.machines.serviceOf(machine));
+  context_.judge.requestArrived(context_.now(), *attempt, context_.machines.serviceOf(machine));
   const Work asked{*attempt, request.field(kOperationKeyHeader).has_value(),
                    context_.now() + std::chrono::milliseconds(left.value_or(10'000))};
   if (server.busy < context_.day.slots) {
@@ -142,7 +142,8 @@
 
 void ProcessServers::checkUnchanged(std::uint64_t attempt, const http::Message& request) {
   const auto broken = [&](const std::string& what) {
-    context_.judge.failed(context_.now(), "UNASKED", "attempt " + std::to_string(attempt) + ": " + what);
+    context_.judge.reportViolation(context_.now(), "UNASKED",
+                                   "attempt " + std::to_string(attempt) + ": " + what);
   };
   const auto caller = request.field(kCallerServiceHeader);
   if (!caller || *caller != serviceName(callerOf_(attempt)))
@@ -154,11 +155,11 @@
 void ProcessServers::work(std::uint32_t machine, const ConnectionRef& connection, const Work& asked) {
   Server& server = servers_.at(machine);
   const std::uint64_t seal = ++seals_;
-  context_.judge.ran(context_.now(), asked.attempt, context_.machines.serviceOf(machine), seal,
-                     server.drainAcked);
+  context_.judge.executionStarted(context_.now(), asked.attempt, context_.machines.serviceOf(machine), seal,
+                                  server.drainAcked);
   runs_[seal] = {asked.attempt, server.id + " on " + context_.machines.nameOf(machine)};
   if (asked.keyed) ++server.keyed;
-  const Distribution takes{Shape::lognormal, context_.day.work, 0.6};
+  const Distribution takes{Shape::lognormal, context_.day.meanServiceTime, 0.6};
   const Span wait =
       std::chrono::duration_cast<Span>(std::chrono::duration<double>(takes.draw(chance_) * server.slow));
   const Span done = context_.now() + wait;
--- a/src/lab/mesh/processes.cpp
+++ b/src/lab/mesh/processes.cpp
@@ -37,33 +37,33 @@
 double secondsOf(Span span) { return std::chrono::duration<double>(span).count(); }
 
 /// Loopback cuts nothing off, and no process can take another's power or disk away from under it.
-bool onlyVirtual(TroubleKind kind) {
+bool onlyVirtual(FaultKind kind) {
   switch (kind) {
-    case TroubleKind::powerControl:
-    case TroubleKind::cutSidecar:
-    case TroubleKind::cutControl:
-    case TroubleKind::cutControlOneWay:
-    case TroubleKind::diskSlow:
-    case TroubleKind::diskFull:
-    case TroubleKind::replaceControl:
-    case TroubleKind::replaceControlPlanned:
-    case TroubleKind::cutControlAsymmetric:
-    case TroubleKind::cutCoreHalves:
-    case TroubleKind::restartBeside:
-    case TroubleKind::resetControl:
-    case TroubleKind::resetSidecar:
-    case TroubleKind::diskStall:
-    case TroubleKind::clockStep:
-    case TroubleKind::killCore:
-    case TroubleKind::powerCore:
-    case TroubleKind::powerCoreAtAnswer:
-    case TroubleKind::rollSidecars:
-    case TroubleKind::answersLost:
-    case TroubleKind::storm:
-    case TroubleKind::changeMany:
-    case TroubleKind::raceMany:
-    case TroubleKind::oldChange:
-    case TroubleKind::newService:
+    case FaultKind::powerControl:
+    case FaultKind::cutSidecar:
+    case FaultKind::cutControl:
+    case FaultKind::cutControlOneWay:
+    case FaultKind::diskSlow:
+    case FaultKind::diskFull:
+    case FaultKind::replaceControl:
+    case FaultKind::replaceControlPlanned:
+    case FaultKind::cutControlAsymmetric:
+    case FaultKind::cutCoreHalves:
+    case FaultKind::restartBeside:
+    case FaultKind::resetControl:
+    case FaultKind::resetSidecar:
+    case FaultKind::diskStall:
+    case FaultKind::clockStep:
+    case FaultKind::killCore:
+    case FaultKind::powerCore:
+    case FaultKind::powerCoreAtAnswer:
+    case FaultKind::rollSidecars:
+    case FaultKind::answersLost:
+    case FaultKind::storm:
+    case FaultKind::changeMany:
+    case FaultKind::raceMany:
+    case FaultKind::oldChange:
+    case FaultKind::newService:
       return true;
     default:
       return false;
@@ -71,8 +71,8 @@
 }
 
 bool hasResets(const Day& day) {
-  return std::any_of(day.troubles.begin(), day.troubles.end(),
-                     [](const Trouble& trouble) { return trouble.kind == TroubleKind::resetForwards; });
+  return std::any_of(day.faults.begin(), day.faults.end(),
+                     [](const Fault& trouble) { return trouble.kind == FaultKind::resetForwards; });
 }
 
 /// One run: the parts, and the troubles done to them.
@@ -84,7 +84,7 @@
         arrivals_(chanceOf(plan.seed, Purpose::arrivals)),
         chance_(chanceOf(plan.seed, Purpose::clients)),
         resets_(chanceOf(plan.seed, Purpose::network)),
-        judge_({kDrain, kApply, spanOf(day.keyWindow), kRetryWindow, kRetryRatio, kRetrySlack}),
+        judge_({kDrainTime, kApplyTime, spanOf(day.keyWindow), kRetryWindow, kRetryRatio, kRetrySlack}),
         httpClient_(loop_, {300ms, 5s, Span{0}, 1 << 20, 64}),
         machines_(day_, 20 + static_cast<std::uint32_t>(::getpid()) % 200),
         context_{day_,        loop_,     judge_,
@@ -102,8 +102,8 @@
     if (plan_.tell) plan_.tell(line);
   }
   void begin();
-  void strike(const Trouble& trouble);
-  void resetForwards(const Trouble& trouble, std::uint32_t sidecar);
+  void strike(const Fault& trouble);
+  void resetForwards(const Fault& trouble, std::uint32_t sidecar);
   void kill(std::uint32_t machine, Span until, bool wiped);
   void term(std::uint32_t machine);
   void close();
@@ -145,68 +145,68 @@
 }
 
 void ProcessMesh::term(std::uint32_t machine) {
-  if (!day_.clientsStay) clients_.avoid(machine);
+  if (!day_.keepConnections) clients_.avoid(machine);
   children_.term(machine);
-  loop_.in(kGrace, [this, machine, process = children_.idAt(machine), told = context_.now()] {
+  loop_.in(kGracePeriod, [this, machine, process = children_.idAt(machine), told = context_.now()] {
     clients_.use(machine);
     const bool gone = children_.gone(machine);
     // Another trouble has started another process meanwhile.
     if (!gone && children_.idAt(machine) != process) return;
     // One that was frozen has had less than its grace.
     if (!gone && children_.disturbedAt(machine) < told)
-      judge_.failed(context_.now(), "GRACE", machines_.nameOf(machine) + " still runs");
+      judge_.reportViolation(context_.now(), "GRACE", machines_.nameOf(machine) + " still runs");
     if (gone || children_.disturbedAt(machine) < context_.now()) children_.start(machine, false);
   });
 }
 
-void ProcessMesh::resetForwards(const Trouble& trouble, std::uint32_t sidecar) {
+void ProcessMesh::resetForwards(const Fault& trouble, std::uint32_t sidecar) {
   ForwardRelay& relay = *relays_.at(sidecar);
-  relay.reset(trouble.part);
+  relay.reset(trouble.magnitude);
   tell("resets a part of the forwards to " + machines_.nameOf(sidecar));
-  loop_.in(spanOf(trouble.lasts), [&relay] { relay.reset(0); });
+  loop_.in(spanOf(trouble.duration), [&relay] { relay.reset(0); });
 }
 
-void ProcessMesh::strike(const Trouble& trouble) {
-  const std::uint32_t control = trouble.who % day_.controls;
-  const std::uint32_t sidecar = machines_.sidecar(trouble.who);
-  const Span until = context_.now() + spanOf(trouble.lasts);
-  const auto later = [&](std::function<void()> task) { loop_.in(spanOf(trouble.lasts), std::move(task)); };
+void ProcessMesh::strike(const Fault& trouble) {
+  const std::uint32_t control = trouble.target % day_.controls;
+  const std::uint32_t sidecar = machines_.sidecar(trouble.target);
+  const Span until = context_.now() + spanOf(trouble.duration);
+  const auto later = [&](std::function<void()> task) { loop_.in(spanOf(trouble.duration), std::move(task)); };
   switch (trouble.kind) {
-    case TroubleKind::killSidecar:
+    case FaultKind::killSidecar:
       return kill(sidecar, context_.now() + kDead, false);
-    case TroubleKind::killControl:
+    case FaultKind::killControl:
       return kill(control, context_.now() + kDead, false);
-    case TroubleKind::wipeControl:
+    case FaultKind::wipeControl:
       return kill(control, until, true);
-    case TroubleKind::freezeSidecar:
+    case FaultKind::freezeSidecar:
       return children_.freeze(sidecar, until);
-    case TroubleKind::freezeControl:
+    case FaultKind::freezeControl:
       return children_.freeze(control, until);
-    case TroubleKind::termSidecar:
+    case FaultKind::termSidecar:
       return term(sidecar);
-    case TroubleKind::hangUp:
-      return children_.hangUp(trouble.who % (day_.controls + day_.sidecars));
-    case TroubleKind::resetForwards:
+    case FaultKind::hangUp:
+      return children_.hangUp(trouble.target % (day_.controls + day_.sidecars));
+    case FaultKind::resetForwards:
       return resetForwards(trouble, sidecar);
-    case TroubleKind::serverLoses:
-      servers_.losesAnswers(sidecar, trouble.part);
+    case FaultKind::serverLoses:
+      servers_.losesAnswers(sidecar, trouble.magnitude);
       return later([this, sidecar] { servers_.losesAnswers(sidecar, 0); });
-    case TroubleKind::serverSpoils:
-      servers_.spoilsAnswers(sidecar, trouble.part);
+    case FaultKind::serverSpoils:
+      servers_.spoilsAnswers(sidecar, trouble.magnitude);
       return later([this, sidecar] { servers_.spoilsAnswers(sidecar, 0); });
-    case TroubleKind::serverSlow:
-      servers_.slows(sidecar, std::max(1.0, trouble.part));
+    case FaultKind::serverSlow:
+      servers_.slows(sidecar, std::max(1.0, trouble.magnitude));
       return later([this, sidecar] { servers_.slows(sidecar, 1); });
-    case TroubleKind::serverCrash:
+    case FaultKind::serverCrash:
       servers_.crash(sidecar);
       return later([this, sidecar] { servers_.begin(sidecar); });
-    case TroubleKind::release:
+    case FaultKind::release:
       return servers_.release(sidecar);
-    case TroubleKind::change:
-    case TroubleKind::race:
-    case TroubleKind::badChange:
-      return operators_.change(trouble.who, trouble.kind == TroubleKind::race,
-                               trouble.kind == TroubleKind::badChange);
+    case FaultKind::change:
+    case FaultKind::race:
+    case FaultKind::badChange:
+      return operators_.change(trouble.target, trouble.kind == FaultKind::race,
+                               trouble.kind == FaultKind::badChange);
     default:
       return;  // refused before the day began
   }
@@ -234,7 +234,7 @@
   for (std::uint32_t i = 0; i < day_.sidecars; ++i) servers_.begin(machines_.sidecar(i));
   loop_.in(500ms, [this] { operators_.begin(); });
   loop_.at(context_.zero + kLead, [this] { clients_.arrive(); });
-  for (const Trouble& trouble : day_.troubles) {
+  for (const Fault& trouble : day_.faults) {
     loop_.at(context_.zero + kLead + spanOf(trouble.at), [this, trouble] { strike(trouble); });
   }
   if (day_.closing != Closing::none) loop_.at(context_.zero + context_.end - 3s, [this] { close(); });
@@ -249,8 +249,8 @@
   loop_.guarded([this] { begin(); });
   loop_.run();
   PlayedProcesses played;
-  played.figures = endOfDay(judge_, operators_.table(), day_.leastServed, context_.now());
-  played.broken = judge_.broken();
+  played.figures = finishDay(judge_, operators_.table(), day_.minServedShare, context_.now());
+  played.violations = judge_.violations();
   played.late = latest_ > kLate || Children::brokenOff();
   played.figures["kills"] = kills_;
   played.figures["keyed_at_work_when_killed"] = keyedAtKills_;
@@ -264,9 +264,9 @@
 }  // namespace
 
 Day forProcesses(Day day) {
-  day.troubles.erase(std::remove_if(day.troubles.begin(), day.troubles.end(),
-                                    [](const Trouble& trouble) { return onlyVirtual(trouble.kind); }),
-                     day.troubles.end());
+  day.faults.erase(std::remove_if(day.faults.begin(), day.faults.end(),
+                                  [](const Fault& trouble) { return onlyVirtual(trouble.kind); }),
+                   day.faults.end());
   if (day.closing == Closing::powerAll) day.closing = Closing::killAll;
   return day;
 }
@@ -279,7 +279,7 @@
     throw BadScenario(day.name + ": controls: with processes as many in each zone");
   if (day.closing == Closing::powerAll)
     throw BadScenario(day.name + ": closing: power_all goes with virtual time");
-  for (const Trouble& trouble : day.troubles) {
+  for (const Fault& trouble : day.faults) {
     if (onlyVirtual(trouble.kind))
       throw BadScenario(day.name + ": trouble: " + mesh::nameOf(trouble.kind) + " goes with virtual time");
   }
--- a/src/lab/mesh/processes.hpp
+++ b/src/lab/mesh/processes.hpp
@@ -20,7 +20,7 @@
   std::function<void(const std::string&)> tell{};  // what happens, a line each
 };
 
-struct PlayedProcesses : Played {
+struct PlayedProcesses : DayResult {
   bool late = false;  // the machine was too slow: the run tells nothing
 };
 
--- a/src/lab/mesh/runs.cpp
+++ b/src/lab/mesh/runs.cpp
@@ -18,104 +18,105 @@
 
 constexpr int kNameWidth = 26;
 
-Day dayFor(const RunsAsked& asked, std::uint64_t seed) {
-  if (asked.soaks) return drawSoak(seed, asked.size);
-  return asked.drawn ? drawDay(seed, asked.size) : asked.size;
+Day dayFor(const RunOptions& options, std::uint64_t seed) {
+  if (options.soaks) return drawSoak(seed, options.size);
+  return options.drawn ? drawDay(seed, options.size) : options.size;
 }
 
-void tellRun(const Day& day, std::uint64_t seed, const PlayedProcesses& result, std::ostream& out) {
-  for (const Broken& broken : result.broken)
-    out << "BROKEN " << broken.rule << " at " << broken.at << " s: " << broken.what << '\n';
-  const char* verdict = result.late     ? "no verdict, this machine is too slow"
-                        : result.kept() ? "kept"
-                                        : "BROKEN";
+void printRun(const Day& day, std::uint64_t seed, const PlayedProcesses& result, std::ostream& out) {
+  for (const Violation& violation : result.violations)
+    out << "BROKEN " << violation.rule << " at " << violation.at << " s: " << violation.detail << '\n';
+  const char* verdict = result.late       ? "no verdict, this machine is too slow"
+                        : result.passed() ? "kept"
+                                          : "BROKEN";
   out << day.name << "  seed " << seed << "  " << verdict << "  served "
       << result.figures.at("served").get<double>() << " of " << result.figures.at("tries") << " tries"
       << std::endl;
 }
 
-void add(RunsPlayed& all, const Day& day, std::uint64_t seed, const PlayedProcesses& result) {
+void add(RunResults& all, const Day& day, std::uint64_t seed, const PlayedProcesses& result) {
   all.runs.push_back({{"day", day.name},
                       {"seed", seed},
-                      {"kept", result.kept()},
+                      {"kept", result.passed()},
                       {"late", result.late},
                       {"figures", result.figures}});
-  all.kept = all.kept && (result.kept() || result.late);
+  all.passed = all.passed && (result.passed() || result.late);
   all.late = all.late || result.late;
 }
 
-void tellShrunk(const Day& day, std::uint64_t seed, const Played& result, std::ostream& out) {
+void printMinimized(const Day& day, std::uint64_t seed, const DayResult& result, std::ostream& out) {
   std::set<std::string> rules;
-  for (const Broken& broken : result.broken) {
-    if (!rules.insert(broken.rule).second) continue;
-    out << "# " << broken.rule << " with seed " << seed << '\n'
-        << textOf(shrunk(day, seed, broken.rule)) << std::flush;
+  for (const Violation& violation : result.violations) {
+    if (!rules.insert(violation.rule).second) continue;
+    out << "# " << violation.rule << " with seed " << seed << '\n'
+        << textOf(minimized(day, seed, violation.rule)) << std::flush;
   }
 }
 
-/// How often each trouble struck, and in how many days each rule broke.
-void tellTotals(const std::vector<PlayedProcesses>& results, double tookSeconds, std::ostream& out) {
+/// Prints how often each fault was injected and in how many days each rule was broken.
+void printTotals(const std::vector<PlayedProcesses>& results, double elapsedSeconds, std::ostream& out) {
   double virtualSeconds = 0;
-  std::map<std::string, std::uint64_t> struck;
-  std::map<std::string, std::uint64_t> daysBroken;
+  std::map<std::string, std::uint64_t> injected;
+  std::map<std::string, std::uint64_t> daysWithViolation;
   for (const PlayedProcesses& result : results) {
     virtualSeconds += result.figures.at("virtual_s").get<double>();
     for (const auto& [kind, count] : result.figures.at("struck").items())
-      struck[kind] += count.get<std::uint64_t>();
+      injected[kind] += count.get<std::uint64_t>();
     std::set<std::string> rules;
-    for (const Broken& broken : result.broken) rules.insert(broken.rule);
-    for (const std::string& rule : rules) ++daysBroken[rule];
+    for (const Violation& violation : result.violations) rules.insert(violation.rule);
+    for (const std::string& rule : rules) ++daysWithViolation[rule];
   }
-  const auto kept = std::count_if(results.begin(), results.end(), [](const auto& one) { return one.kept(); });
-  out << results.size() << " days, " << kept << " kept, " << std::fixed << std::setprecision(1)
-      << virtualSeconds << " virtual seconds in " << tookSeconds << " s\n";
-  for (const auto& [kind, count] : struck)
-    out << "  " << std::left << std::setw(kNameWidth) << kind << " struck " << count << " times\n";
-  for (const auto& [rule, days] : daysBroken)
+  const auto passed =
+      std::count_if(results.begin(), results.end(), [](const auto& one) { return one.passed(); });
+  out << results.size() << " days, " << passed << " kept, " << std::fixed << std::setprecision(1)
+      << virtualSeconds << " virtual seconds in " << elapsedSeconds << " s\n";
+  for (const auto& [kind, count] : injected)
+    out << "  " << std::left << std::setw(kNameWidth) << kind << " injected " << count << " times\n";
+  for (const auto& [rule, days] : daysWithViolation)
     out << "  " << std::left << std::setw(kNameWidth) << rule << " broken in " << days << " days\n";
   out << std::defaultfloat << std::setprecision(6) << std::flush;
 }
 
 }  // namespace
 
-RunsPlayed playInVirtualTime(const RunsAsked& asked, std::ostream& out) {
-  const auto began = std::chrono::steady_clock::now();
-  std::vector<PlayedProcesses> results(asked.seeds);
+RunResults runInVirtualTime(const RunOptions& options, std::ostream& out) {
+  const auto startedAt = std::chrono::steady_clock::now();
+  std::vector<PlayedProcesses> results(options.seeds);
   std::atomic<unsigned> next{0};
-  std::mutex telling;
-  const auto playSome = [&] {
-    for (unsigned i = next++; i < asked.seeds; i = next++) {
-      const std::uint64_t seed = asked.seed + i;
-      const Day day = dayFor(asked, seed);
-      static_cast<Played&>(results[i]) = play(day, seed);
-      const std::lock_guard lock(telling);
-      tellRun(day, seed, results[i], out);
+  std::mutex outputMutex;
+  const auto worker = [&] {
+    for (unsigned i = next++; i < options.seeds; i = next++) {
+      const std::uint64_t seed = options.seed + i;
+      const Day day = dayFor(options, seed);
+      static_cast<DayResult&>(results[i]) = runDay(day, seed);
+      const std::lock_guard lock(outputMutex);
+      printRun(day, seed, results[i], out);
     }
   };
   std::vector<std::thread> threads;
-  for (unsigned job = 0; job < std::min(asked.jobs, asked.seeds); ++job) threads.emplace_back(playSome);
+  for (unsigned job = 0; job < std::min(options.jobs, options.seeds); ++job) threads.emplace_back(worker);
   for (std::thread& thread : threads) thread.join();
-  const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
-  RunsPlayed all;
-  for (unsigned i = 0; i < asked.seeds; ++i) {
-    const std::uint64_t seed = asked.seed + i;
-    const Day day = dayFor(asked, seed);
+  const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - startedAt;
+  RunResults all;
+  for (unsigned i = 0; i < options.seeds; ++i) {
+    const std::uint64_t seed = options.seed + i;
+    const Day day = dayFor(options, seed);
     add(all, day, seed, results[i]);
-    if (asked.shrinks) tellShrunk(day, seed, results[i], out);
+    if (options.shrinks) printMinimized(day, seed, results[i], out);
   }
-  tellTotals(results, took.count(), out);
+  printTotals(results, elapsed.count(), out);
   return all;
 }
 
-RunsPlayed playOnProcesses(const RunsAsked& asked, std::ostream& out) {
-  RunsPlayed all;
-  for (unsigned i = 0; i < asked.seeds; ++i) {
-    ProcessPlan plan = asked.processes;
-    plan.seed = asked.seed + i;
-    Day day = dayFor(asked, plan.seed);
-    if (asked.drawn) day = forProcesses(day);
+RunResults runOnProcesses(const RunOptions& options, std::ostream& out) {
+  RunResults all;
+  for (unsigned i = 0; i < options.seeds; ++i) {
+    ProcessPlan plan = options.processes;
+    plan.seed = options.seed + i;
+    Day day = dayFor(options, plan.seed);
+    if (options.drawn) day = forProcesses(day);
     const PlayedProcesses result = playProcesses(day, plan);
-    tellRun(day, plan.seed, result, out);
+    printRun(day, plan.seed, result, out);
     add(all, day, plan.seed, result);
   }
   return all;
--- a/src/lab/mesh/runs.hpp
+++ b/src/lab/mesh/runs.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Days of an emulated mesh over many seeds, and what is told of them: a line for each, and totals.
+// Runs days of an emulated mesh with a range of seeds and prints a line for each run and totals.
 
 #include <cstdint>
 #include <iosfwd>
@@ -11,24 +11,24 @@
 
 namespace rackroute::lab::mesh {
 
-struct RunsAsked {
-  Day size;
+struct RunOptions {
+  Day size;                // the day, or the size of generated days
   std::uint64_t seed = 1;  // the first
   unsigned seeds = 1;
-  bool drawn = false;     // troubles drawn anew for each seed, in place of the day's own
-  bool soaks = false;     // drawn by drawSoak(); with processes
-  bool shrinks = false;   // a broken day is told with the fewest troubles with which each rule still breaks
-  unsigned jobs = 1;      // days at once, in virtual time
-  ProcessPlan processes;  // its seed is each day's own
+  bool drawn = false;     // generate the faults from each seed instead of using those of the day
+  bool soaks = false;     // generate days with drawSoak(); real processes only
+  bool shrinks = false;   // print a minimal set of faults that still breaks each broken rule
+  unsigned jobs = 1;      // concurrent runs, in virtual time
+  ProcessPlan processes;  // its seed is replaced by that of each run
 };
 
-struct RunsPlayed {
-  bool kept = true;   // by all days that have a verdict
-  bool late = false;  // a day has none, as the machine was too slow
+struct RunResults {
+  bool passed = true;  // all runs with a verdict passed
+  bool late = false;   // a run has no verdict, as the machine was too slow
   nlohmann::json runs = nlohmann::json::array();
 };
 
-RunsPlayed playInVirtualTime(const RunsAsked& asked, std::ostream& out);
-RunsPlayed playOnProcesses(const RunsAsked& asked, std::ostream& out);
+RunResults runInVirtualTime(const RunOptions& options, std::ostream& out);
+RunResults runOnProcesses(const RunOptions& options, std::ostream& out);
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/world.hpp
+++ b/src/lab/mesh/world.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// A whole mesh in virtual time: its controls and sidecars as they are, with a network, disks, servers,
-// clients and operators of the lab's own. The same day and seed play the same to the byte.
+// Runs a whole mesh in virtual time: the real control nodes and sidecars on an emulated network with emulated
+// disks, servers, clients and operators. Runs are deterministic for a given day and seed.
 
 #include <cstdint>
 #include <memory>
@@ -14,14 +14,14 @@
 
 namespace rackroute::lab::mesh {
 
-struct Played {
-  std::vector<Broken> broken;
-  nlohmann::json figures;  // what was asked and served, and what it cost, by kind of session
-  [[nodiscard]] bool kept() const { return broken.empty(); }
+struct DayResult {
+  std::vector<Violation> violations;
+  nlohmann::json figures;  // counts of requests, faults and messages
+  [[nodiscard]] bool passed() const { return violations.empty(); }
 };
 
-Played play(const Day& day, std::uint64_t seed);
-/// The fewest of its troubles with which the same rule still breaks.
-Day shrunk(const Day& day, std::uint64_t seed, const std::string& rule);
+DayResult runDay(const Day& day, std::uint64_t seed);
+/// The day without those faults that are not needed to break the given rule.
+Day minimized(const Day& day, std::uint64_t seed, const std::string& rule);
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/world_departures.cpp
+++ b/src/lab/mesh/world_departures.cpp
@@ -1,44 +1,46 @@
-#include "lab/mesh/emulated.hpp"
+// Clients of the emulated mesh that disconnect early, and the cancellation of their requests.
+
+#include "lab/mesh/emulated_world.hpp"
 
 namespace rackroute::lab::mesh::emulated {
 
-void World::mayLeave(std::size_t machine, std::uint64_t call, Span deadline) {
-  if (day_.leaving <= 0 || fraction(clients_) >= day_.leaving) return;
-  const Span patience = span(fraction(clients_) * std::chrono::duration<double>(deadline - now_).count() / 2);
-  atProcess(now_ + patience, machine, machines_[machine].life,
-            [this, machine, call] { leave(machine, call); });
+void World::maybeDisconnect(std::size_t machine, std::uint64_t call, Span deadline) {
+  if (day_.disconnectShare <= 0 || fraction(clients_) >= day_.disconnectShare) return;
+  const Span wait = span(fraction(clients_) * std::chrono::duration<double>(deadline - now_).count() / 2);
+  runOnProcess(now_ + wait, machine, machines_[machine].incarnation,
+               [this, machine, call] { disconnectClient(machine, call); });
 }
 
-void World::leave(std::size_t machine, std::uint64_t call) {
-  Side& here = side(machine);
-  const auto found = here.attemptOf.find(call);
-  if (found == here.attemptOf.end() || open_.erase(found->second) == 0) return;
-  judge_.left(now_, found->second);
-  act(machine, here.sidecar->requestAbandoned(now_, {call}));
+void World::disconnectClient(std::size_t machine, std::uint64_t call) {
+  SidecarHost& host = sidecarOn(machine);
+  const auto found = host.attemptOf.find(call);
+  if (found == host.attemptOf.end() || openAttempts_.erase(found->second) == 0) return;
+  judge_.clientDisconnected(now_, found->second);
+  execute(machine, host.sidecar->requestAbandoned(now_, {call}));
 }
 
-void World::cancelForward(std::size_t machine, const RoutingAction& act) {
-  Side& here = side(machine);
-  const auto found = here.forwards.find(act.sent.value);
-  if (found == here.forwards.end()) return;
+void World::cancelForward(std::size_t machine, const RoutingAction& action) {
+  SidecarHost& host = sidecarOn(machine);
+  const auto found = host.forwards.find(action.sent.value);
+  if (found == host.forwards.end()) return;
   const auto cancel = std::move(found->second);
-  here.forwards.erase(found);
+  host.forwards.erase(found);
   cancel();
 }
 
-void World::cancelRun(std::size_t machine, const AdmissionAction& act) {
-  Side& here = side(machine);
-  const auto found = here.runs.find(act.ask.value);
-  if (found == here.runs.end()) return;
+void World::cancelExecution(std::size_t machine, const AdmissionAction& action) {
+  SidecarHost& host = sidecarOn(machine);
+  const auto found = host.executions.find(action.ask.value);
+  if (found == host.executions.end()) return;
   const auto stop = std::move(found->second);
-  here.runs.erase(found);
+  host.executions.erase(found);
   stop();
 }
 
-// The next request that waits at the server begins.
-void World::freeSlot(std::size_t machine, std::uint64_t serverLife) {
-  Server& server = side(machine).server;
-  if (server.lives != serverLife) return;
+// Starts the next queued request of the server, if any.
+void World::freeSlot(std::size_t machine, std::uint64_t serverIncarnation) {
+  Server& server = sidecarOn(machine).server;
+  if (server.incarnation != serverIncarnation) return;
   if (server.queue.empty()) {
     --server.busy;
     return;
--- a/src/lab/mesh/world_disks.cpp
+++ b/src/lab/mesh/world_disks.cpp
@@ -1,84 +1,85 @@
-#include "lab/mesh/emulated.hpp"
+#include "lab/mesh/emulated_world.hpp"
 
 namespace rackroute::lab::mesh::emulated {
 namespace {
 
-constexpr double kChangesOfAWrite = 6;  // of files and names, at most, unless the database begins a new log
+constexpr double kChangesPerWrite =
+    6;  // upper bound of the file and name changes of one write without a log rotation
 
 }  // namespace
 
-bool World::openDisk(std::size_t machine, const ControlNode::Options& built) {
-  Core& here = core(machine);
-  Disk& disk = here.disk;
-  disk.waiting.clear();
+bool World::openDisk(std::size_t machine, const ControlNode::Options& initial) {
+  ControlHost& host = controlOn(machine);
+  Disk& disk = host.disk;
+  disk.pending.clear();
   disk.syncing = 0;
-  ControlNode::Options anew = built;
+  ControlNode::Options options = initial;
   for (;;) {
-    here.control = std::make_unique<ControlNode>(anew);
+    host.control = std::make_unique<ControlNode>(options);
     disk.database = std::make_unique<Database>("/data", disk.files->fileSystem());
     const OpenOutcome outcome = disk.database->open([&](const std::string& key, const std::string& value) {
-      if (const auto read = here.control->restore(key, value); !read)
-        judge_.failed(now_, "STORE", read.error().line());
+      if (const auto restored = host.control->restore(key, value); !restored)
+        judge_.reportViolation(now_, "STORE", restored.error().line());
     });
     disk.files->runScheduled();
     if (outcome.state == OpenState::opened) return true;
     const bool unreadable = outcome.state == OpenState::unreadable;
-    if (unreadable) judge_.failed(now_, "STORE unreadable", outcome.error.line());
+    if (unreadable) judge_.reportViolation(now_, "STORE unreadable", outcome.error.line());
     if (!unreadable || !disk.database->setAside()) return false;
-    anew.firstBoot = false;
+    options.firstBoot = false;
   }
 }
 
-bool World::writeInFlight(Disk& disk) {
+bool World::writePending(Disk& disk) {
   std::vector<const Entries*> batches;
-  for (std::size_t i = 0; i < disk.syncing; ++i) batches.push_back(&disk.waiting[i].second);
-  const bool done = disk.database->write(batches);
+  for (std::size_t i = 0; i < disk.syncing; ++i) batches.push_back(&disk.pending[i].second);
+  const bool written = disk.database->write(batches);
   disk.files->runScheduled();
-  return done;
+  return written;
 }
 
-// What was being written is there, missing or torn.
-void World::endDisk(std::size_t machine, bool power) {
-  Disk& disk = core(machine).disk;
+// Ends a write in progress at a random point: it is kept, lost or torn.
+void World::closeDisk(std::size_t machine, bool powerLoss) {
+  Disk& disk = controlOn(machine).disk;
   if (disk.syncing > 0) {
-    disk.files->endAfter(static_cast<std::uint64_t>(fraction(network_) * kChangesOfAWrite));
-    writeInFlight(disk);
+    disk.files->failAfter(static_cast<std::uint64_t>(fraction(network_) * kChangesPerWrite));
+    writePending(disk);
   }
   disk.database.reset();
-  disk.files->restart(power, network_);
-  disk.waiting.clear();
+  disk.files->restart(powerLoss, network_);
+  disk.pending.clear();
   disk.syncing = 0;
 }
 
-void World::wipeDisk(std::size_t machine) { core(machine).disk.files->wipe(); }
+void World::wipeDisk(std::size_t machine) { controlOn(machine).disk.files->wipe(); }
 
-void World::sync(std::size_t machine) {
-  Disk& disk = core(machine).disk;
-  if (disk.syncing > 0 || disk.waiting.empty()) return;
-  disk.syncing = disk.waiting.size();
+void World::startSync(std::size_t machine) {
+  Disk& disk = controlOn(machine).disk;
+  if (disk.syncing > 0 || disk.pending.empty()) return;
+  disk.syncing = disk.pending.size();
   ++syncs_;
-  const Span done = std::max(now_, disk.stalledUntil) + span(day_.sync * disk.slow);
-  atProcess(done, machine, machines_[machine].life, [this, machine] { synced(machine); });
+  const Span done = std::max(now_, disk.stalledUntil) + span(day_.syncTime * disk.slowdown);
+  runOnProcess(done, machine, machines_[machine].incarnation, [this, machine] { syncCompleted(machine); });
 }
 
-void World::synced(std::size_t machine) {
-  Disk& disk = core(machine).disk;
+void World::syncCompleted(std::size_t machine) {
+  Disk& disk = controlOn(machine).disk;
   if (disk.stalledUntil > now_)
-    return atProcess(disk.stalledUntil, machine, machines_[machine].life,
-                     [this, machine] { synced(machine); });
-  synced(machine, writeInFlight(disk));
+    return runOnProcess(disk.stalledUntil, machine, machines_[machine].incarnation,
+                        [this, machine] { syncCompleted(machine); });
+  syncCompleted(machine, writePending(disk));
 }
 
-void World::synced(std::size_t machine, bool done) {
-  Disk& disk = core(machine).disk;
+void World::syncCompleted(std::size_t machine, bool written) {
+  Disk& disk = controlOn(machine).disk;
   std::vector<std::uint64_t> batches;
   for (; disk.syncing > 0; --disk.syncing) {
-    batches.push_back(disk.waiting.front().first);
-    disk.waiting.pop_front();
+    batches.push_back(disk.pending.front().first);
+    disk.pending.pop_front();
   }
-  sync(machine);
+  startSync(machine);
   for (const std::uint64_t batch : batches)
-    act(machine, core(machine).control->writeCompleted(now_, {batch}, done));
+    execute(machine, controlOn(machine).control->writeCompleted(now_, {batch}, written));
 }
 
 }  // namespace rackroute::lab::mesh::emulated
--- a/src/lab/mesh/world_processes.cpp
+++ b/src/lab/mesh/world_processes.cpp
@@ -1,10 +1,12 @@
-#include "lab/mesh/emulated.hpp"
+// Start, restart and end of the emulated processes, and the execution of the actions they return.
+
+#include "lab/mesh/emulated_world.hpp"
 
 namespace rackroute::lab::mesh::emulated {
 
 std::size_t World::addMachine(bool isCore, std::uint32_t number, std::uint32_t zone) {
   Machine m;
-  m.core = isCore;
+  m.isControl = isCore;
   m.number = number;
   m.zone = zone;
   m.name = (isCore ? "v" : "s") + std::to_string(number);
@@ -13,11 +15,11 @@
   return machines_.size() - 1;
 }
 
-std::vector<Address> World::seedsNow(const std::string& first) const {
+std::vector<Address> World::currentSeeds(const std::string& first) const {
   constexpr std::size_t kSeeds = 3;
   std::vector<Address> seeds;
   if (!first.empty()) seeds.push_back({first});
-  for (const std::size_t control : listed_) {
+  for (const std::size_t control : knownControls_) {
     if (seeds.size() < kSeeds && address(control) != first) seeds.push_back({address(control)});
   }
   return seeds;
@@ -25,32 +27,32 @@
 
 void World::startControl(std::size_t machine) {
   Machine& m = machines_[machine];
-  Core& here = core(machine);
-  here.calls.clear();
-  ControlNode::Options built;
-  built.node = {m.name};
-  built.at = {address(machine)};
-  built.zone = "z" + std::to_string(m.zone);
-  built.life = {static_cast<std::uint64_t>(wall(machine).count())};
-  built.seeds = seedsNow("");
-  built.founders = day_.controls;
-  built.firstBoot = !here.disk.used;
-  built.keyWindow = span(day_.keyWindow);
-  built.random = seed_ * 1000 + machine;
-  here.disk.used = true;
-  m.dark = false;
-  if (!openDisk(machine, built)) return restart(machine, kOpenPause);
-  m.life = ++m.lives;
-  m.started = now_;
-  act(machine, here.control->start(now_));
-  tickControl(machine, m.life);
+  ControlHost& host = controlOn(machine);
+  host.calls.clear();
+  ControlNode::Options options;
+  options.node = {m.name};
+  options.at = {address(machine)};
+  options.zone = "z" + std::to_string(m.zone);
+  options.life = {static_cast<std::uint64_t>(wallClock(machine).count())};
+  options.seeds = currentSeeds("");
+  options.founders = day_.controls;
+  options.firstBoot = !host.disk.initialized;
+  options.keyWindow = span(day_.keyWindow);
+  options.random = seed_ * 1000 + machine;
+  host.disk.initialized = true;
+  m.poweredOff = false;
+  if (!openDisk(machine, options)) return restart(machine, kOpenRetryInterval);
+  m.incarnation = ++m.lastIncarnation;
+  m.startedAt = now_;
+  execute(machine, host.control->start(now_));
+  tickControl(machine, m.incarnation);
 }
 
 void World::restart(std::size_t machine, Span wait) {
-  in(wait, [this, machine] {
+  runAfter(wait, [this, machine] {
     const Machine& m = machines_[machine];
-    if (m.life != 0 || m.gone) return;
-    if (m.core) {
+    if (m.incarnation != 0 || m.retired) return;
+    if (m.isControl) {
       startControl(machine);
     } else {
       startSidecar(machine);
@@ -58,176 +60,180 @@
   });
 }
 
-void World::tickControl(std::size_t machine, std::uint64_t life) {
-  act(machine, core(machine).control->tick(now_));
-  atProcess(now_ + ControlNode::tickInterval(), machine, life,
-            [this, machine, life] { tickControl(machine, life); });
+void World::tickControl(std::size_t machine, std::uint64_t incarnation) {
+  execute(machine, controlOn(machine).control->tick(now_));
+  runOnProcess(now_ + ControlNode::tickInterval(), machine, incarnation,
+               [this, machine, incarnation] { tickControl(machine, incarnation); });
 }
 
 void World::startSidecar(std::size_t machine) {
   Machine& m = machines_[machine];
-  m.life = ++m.lives;
-  m.started = now_;
-  m.dark = m.leaving = false;
-  // As the program does it.
-  const LifeNo life{static_cast<std::uint64_t>(wall(machine).count())};
-  Side& here = side(machine);
-  Sidecar::Config built;
-  built.router.node = {m.name};
-  built.router.zone = "z" + std::to_string(m.zone);
-  built.router.service = {serviceName(here.server.service)};
-  built.router.allowance = {kRetryRatio, kRetrySlack, 10s};
-  built.router.seed = seed_ * 1000 + machine * 31 + m.life;
-  built.admission = {{m.name}, {address(machine)},   built.router.zone,
-                     life,     built.router.service, {m.name + ":app"},
-                     kDrain,   span(day_.keyWindow), 32 << 20};
-  built.controlClient = {{m.name}, {address(machine)}, built.router.zone, life, seedsNow(m.firstSeed)};
-  here.sidecar = std::make_unique<Sidecar>(std::move(built));
-  here.asks.clear();
-  here.attemptOf.clear();
-  here.serverCalls.clear();
-  here.wakes = Span::max();
-  act(machine, here.sidecar->tick(now_));
+  m.incarnation = ++m.lastIncarnation;
+  m.startedAt = now_;
+  m.poweredOff = m.stopping = false;
+  // Like the sidecar program.
+  const LifeNo incarnation{static_cast<std::uint64_t>(wallClock(machine).count())};
+  SidecarHost& host = sidecarOn(machine);
+  Sidecar::Config options;
+  options.router.node = {m.name};
+  options.router.zone = "z" + std::to_string(m.zone);
+  options.router.service = {serviceName(host.server.service)};
+  options.router.allowance = {kRetryRatio, kRetrySlack, 10s};
+  options.router.seed = seed_ * 1000 + machine * 31 + m.incarnation;
+  options.admission = {{m.name},    {address(machine)},     options.router.zone,
+                       incarnation, options.router.service, {m.name + ":app"},
+                       kDrainTime,  span(day_.keyWindow),   32 << 20};
+  options.controlClient = {
+      {m.name}, {address(machine)}, options.router.zone, incarnation, currentSeeds(m.firstSeed)};
+  host.sidecar = std::make_unique<Sidecar>(std::move(options));
+  host.inbound.clear();
+  host.attemptOf.clear();
+  host.serverCalls.clear();
+  host.nextWakeAt = Span::max();
+  execute(machine, host.sidecar->tick(now_));
 }
 
-void World::kill(std::size_t machine, bool dark) {
+void World::kill(std::size_t machine, bool powerLoss) {
   Machine& m = machines_[machine];
-  if (m.life == 0) return;
-  m.life = 0;
-  m.dark = dark;
-  if (m.core) endDisk(machine, dark);
+  if (m.incarnation == 0) return;
+  m.incarnation = 0;
+  m.poweredOff = powerLoss;
+  if (m.isControl) closeDisk(machine, powerLoss);
   for (const LinkPtr& link : links_) {
     if (link->open && (link->a == machine || link->b == machine)) close(link, machine);
   }
   links_.erase(std::remove_if(links_.begin(), links_.end(), [](const LinkPtr& link) { return !link->open; }),
                links_.end());
-  sessions_[machine].clear();
-  dialled_[machine].clear();
-  if (!m.core) {
-    // Its clients' connections close; they try again elsewhere, as their requests allow.
-    std::vector<std::uint64_t> cut;
-    for (const auto& [attempt, held] : open_) {
-      if (held.first == machine) cut.push_back(attempt);
+  controlSessions_[machine].clear();
+  sidecarSessions_[machine].clear();
+  if (!m.isControl) {
+    // The connections of its clients close; clients retry elsewhere if the request allows it.
+    std::vector<std::uint64_t> interrupted;
+    for (const auto& [attempt, entry] : openAttempts_) {
+      if (entry.first == machine) interrupted.push_back(attempt);
     }
-    for (const std::uint64_t attempt : cut) {
-      const Wanted wanted = open_.at(attempt).second;
-      answered(machine, wanted, attempt, 0, 0, Span{0});
+    for (const std::uint64_t attempt : interrupted) {
+      const LoadRequest request = openAttempts_.at(attempt).second;
+      responseReceived(machine, request, attempt, 0, 0, Span{0});
     }
   }
 }
 
-void World::act(std::size_t machine, const ControlActions& acts) {
-  Core& here = core(machine);
-  for (const ControlAction& act : acts) {
-    switch (act.kind) {
+void World::execute(std::size_t machine, const ControlActions& actions) {
+  ControlHost& host = controlOn(machine);
+  for (const ControlAction& action : actions) {
+    switch (action.kind) {
       case ControlAction::Kind::send: {
-        const auto link = sessions_[machine].find(act.session.value);
-        if (link != sessions_[machine].end()) send(link->second, link->second->a == machine, *act.text);
+        const auto link = controlSessions_[machine].find(action.session.value);
+        if (link != controlSessions_[machine].end())
+          send(link->second, link->second->a == machine, *action.text);
         break;
       }
       case ControlAction::Kind::dial:
-        dial(machine, act.at);
+        dial(machine, action.at);
         break;
       case ControlAction::Kind::close: {
-        const auto link = sessions_[machine].find(act.session.value);
-        if (link == sessions_[machine].end()) break;
-        const LinkPtr held = link->second;
-        sessions_[machine].erase(link);
-        close(held, machine);
+        const auto link = controlSessions_[machine].find(action.session.value);
+        if (link == controlSessions_[machine].end()) break;
+        const LinkPtr closing = link->second;
+        controlSessions_[machine].erase(link);
+        close(closing, machine);
         break;
       }
       case ControlAction::Kind::write:
-        here.disk.waiting.emplace_back(act.batch.value, act.entries);
-        sync(machine);
+        host.disk.pending.emplace_back(action.batch.value, action.entries);
+        startSync(machine);
         break;
       case ControlAction::Kind::answer:
-        if (const auto call = here.calls.find(act.call.value); call != here.calls.end()) {
+        if (const auto call = host.calls.find(action.call.value); call != host.calls.end()) {
           const auto done = std::move(call->second);
-          here.calls.erase(call);
-          done(act.status, act.body);
+          host.calls.erase(call);
+          done(action.status, action.body);
         }
         break;
     }
   }
 }
 
-void World::wake(std::size_t machine) {
-  Side& here = side(machine);
-  const Span next = here.sidecar->nextTick(now_);
-  if (next >= here.wakes) return;
-  here.wakes = next;
-  atProcess(next, machine, machines_[machine].life, [this, machine, next] {
-    Side& there = side(machine);
-    if (there.wakes != next) return;
-    there.wakes = Span::max();
-    act(machine, there.sidecar->tick(now_));
+void World::scheduleWake(std::size_t machine) {
+  SidecarHost& host = sidecarOn(machine);
+  const Span next = host.sidecar->nextTick(now_);
+  if (next >= host.nextWakeAt) return;
+  host.nextWakeAt = next;
+  runOnProcess(next, machine, machines_[machine].incarnation, [this, machine, next] {
+    SidecarHost& current = sidecarOn(machine);
+    if (current.nextWakeAt != next) return;
+    current.nextWakeAt = Span::max();
+    execute(machine, current.sidecar->tick(now_));
   });
 }
 
-void World::act(std::size_t machine, const SidecarActions& acts) {
-  for (const ServerCallResponse& answer : acts.callResponses) answered(machine, answer);
-  Side& here = side(machine);
-  for (const RoutingAction& act : acts.routing) {
-    const auto found = here.attemptOf.find(act.call.value);
-    if (found == here.attemptOf.end()) continue;
-    if (act.kind == RoutingAction::Kind::send) {
-      forward(machine, act);
+void World::execute(std::size_t machine, const SidecarActions& actions) {
+  for (const ServerCallResponse& response : actions.callResponses) serverCallAnswered(machine, response);
+  SidecarHost& host = sidecarOn(machine);
+  for (const RoutingAction& action : actions.routing) {
+    const auto found = host.attemptOf.find(action.call.value);
+    if (found == host.attemptOf.end()) continue;
+    if (action.kind == RoutingAction::Kind::send) {
+      forward(machine, action);
       continue;
     }
-    if (act.kind == RoutingAction::Kind::cancel) {
-      cancelForward(machine, act);
+    if (action.kind == RoutingAction::Kind::cancel) {
+      cancelForward(machine, action);
       continue;
     }
     const std::uint64_t attempt = found->second;
-    here.attemptOf.erase(found);
-    const auto open = open_.find(attempt);
-    if (open == open_.end()) continue;
-    std::uint32_t status = act.status;
+    host.attemptOf.erase(found);
+    const auto open = openAttempts_.find(attempt);
+    if (open == openAttempts_.end()) continue;
+    std::uint32_t status = action.status;
     std::uint64_t seal = 0;
-    if (act.kind == RoutingAction::Kind::pass) {
-      const auto answer = std::static_pointer_cast<const std::pair<std::uint32_t, std::uint64_t>>(act.bytes);
+    if (action.kind == RoutingAction::Kind::pass) {
+      const auto answer =
+          std::static_pointer_cast<const std::pair<std::uint32_t, std::uint64_t>>(action.bytes);
       status = answer->first;
       seal = answer->second;
     }
-    const Wanted wanted = open->second.second;
-    answered(machine, wanted, attempt, status, seal, act.comeBack);
+    const LoadRequest request = open->second.second;
+    responseReceived(machine, request, attempt, status, seal, action.comeBack);
   }
-  for (const AdmissionAction& act : acts.admission) {
-    const auto found = here.asks.find(act.ask.value);
-    if (found == here.asks.end()) continue;
-    if (act.kind == AdmissionAction::Kind::run) {
-      serve(machine, act);
+  for (const AdmissionAction& action : actions.admission) {
+    const auto found = host.inbound.find(action.ask.value);
+    if (found == host.inbound.end()) continue;
+    if (action.kind == AdmissionAction::Kind::run) {
+      serve(machine, action);
       continue;
     }
-    if (act.kind == AdmissionAction::Kind::cancel) {
-      cancelRun(machine, act);
+    if (action.kind == AdmissionAction::Kind::cancel) {
+      cancelExecution(machine, action);
       continue;
     }
     const auto reply = found->second.reply;
-    here.asks.erase(found);
+    host.inbound.erase(found);
     std::uint32_t status = 503;
     std::uint64_t seal = 0;
-    if (act.bytes) {
-      const auto answer = std::static_pointer_cast<const std::pair<std::uint32_t, std::uint64_t>>(act.bytes);
+    if (action.bytes) {
+      const auto answer =
+          std::static_pointer_cast<const std::pair<std::uint32_t, std::uint64_t>>(action.bytes);
       status = answer->first;
       seal = answer->second;
     }
-    reply(act.told, status, seal, act.bytes);
+    reply(action.told, status, seal, action.bytes);
   }
-  for (const ControlClientAction& act : acts.control) {
-    auto& all = dialled_[machine];
-    const auto link = all.find(act.at.value);
-    if (act.kind == ControlClientAction::Kind::send) {
-      if (link != all.end()) send(link->second, true, *act.text);
-    } else if (act.kind == ControlClientAction::Kind::dial) {
-      dial(machine, act.at);
-    } else if (link != all.end()) {
-      const LinkPtr held = link->second;
-      all.erase(link);
-      close(held, machine);
+  for (const ControlClientAction& action : actions.control) {
+    auto& sessions = sidecarSessions_[machine];
+    const auto link = sessions.find(action.at.value);
+    if (action.kind == ControlClientAction::Kind::send) {
+      if (link != sessions.end()) send(link->second, true, *action.text);
+    } else if (action.kind == ControlClientAction::Kind::dial) {
+      dial(machine, action.at);
+    } else if (link != sessions.end()) {
+      const LinkPtr closing = link->second;
+      sessions.erase(link);
+      close(closing, machine);
     }
   }
-  wake(machine);
+  scheduleWake(machine);
 }
 
 }  // namespace rackroute::lab::mesh::emulated
--- a/src/lab/mesh/world_requests.cpp
+++ b/src/lab/mesh/world_requests.cpp
@@ -1,229 +1,242 @@
-#include "lab/mesh/emulated.hpp"
+// Client requests of the emulated mesh: arrival, retries, forwarding between sidecars, and execution by
+// servers.
+
+#include "lab/mesh/emulated_world.hpp"
 
 namespace rackroute::lab::mesh::emulated {
 
-void World::arrive() {
+void World::generateRequests() {
   if (now_ >= end_) return;
-  in(span(-std::log(1 - fraction(arrivals_)) / std::max(day_.perSecond, 0.001)), [this] { arrive(); });
-  Wanted wanted;
+  runAfter(span(-std::log(1 - fraction(arrivals_)) / std::max(day_.requestRate, 0.001)),
+           [this] { generateRequests(); });
+  LoadRequest request;
   const double kind = fraction(arrivals_);
-  const bool other = fraction(arrivals_) < 0.4;
-  if (kind < day_.keyed) {
-    wanted.route = other ? 2 : 1;
-    wanted.key = "k" + std::to_string(++keyNo_);
-  } else if (kind < day_.keyed + day_.effectful) {
-    wanted.route = 4;
+  const bool otherService = fraction(arrivals_) < 0.4;
+  if (kind < day_.keyedShare) {
+    request.route = otherService ? 2 : 1;
+    request.key = "k" + std::to_string(++keyNo_);
+  } else if (kind < day_.keyedShare + day_.effectfulShare) {
+    request.route = 4;
   } else {
-    wanted.route = other ? 3 : 0;
+    request.route = otherService ? 3 : 0;
   }
-  wanted.until = now_ + span(kRoutes[wanted.route].deadline);
-  const auto machine = sideAt(static_cast<std::uint32_t>(fraction(arrivals_) * day_.sidecars));
-  ask(machine, wanted);
+  request.deadline = now_ + span(kRoutes[request.route].deadline);
+  const auto machine = sidecarMachine(static_cast<std::uint32_t>(fraction(arrivals_) * day_.sidecars));
+  sendRequest(machine, request);
 }
 
-void World::ask(std::size_t machine, const Wanted& wanted) {
+void World::sendRequest(std::size_t machine, const LoadRequest& request) {
   Machine& m = machines_[machine];
-  if (m.life == 0 || m.leaving) {
-    // A client goes where its platform sends it: to a machine whose process is ready.
+  if (m.incarnation == 0 || m.stopping) {
+    // The platform routes clients only to machines with a ready process.
     for (std::uint32_t i = 0; i < day_.sidecars; ++i) {
-      const std::size_t next = sideAt((static_cast<std::uint32_t>(machine) + i) % day_.sidecars);
-      if (machines_[next].life != 0 && !machines_[next].leaving) {
+      const std::size_t next = sidecarMachine((static_cast<std::uint32_t>(machine) + i) % day_.sidecars);
+      if (machines_[next].incarnation != 0 && !machines_[next].stopping) {
         machine = next;
         break;
       }
     }
-    if (machines_[machine].life == 0) return;
+    if (machines_[machine].incarnation == 0) return;
   }
-  machines_[machine].lastAsked = now_;
-  const RouteTold& route = kRoutes[wanted.route];
+  machines_[machine].lastRequestAt = now_;
+  const RouteSpec& route = kRoutes[request.route];
   const std::uint64_t attempt = ++attemptNo_;
-  judge_.sent(now_, attempt, route.sort, wanted.key, route.service);
-  open_[attempt] = {machine, wanted};
-  if (!wanted.key.empty()) keyOf_[attempt] = wanted.key;
-  const Span deadline = wanted.until;
-  // A client that gets no answer until its deadline is gone.
-  at(deadline + 50ms, [this, attempt] { open_.erase(attempt); });
-  atProcess(now_ + 1ms, machine, machines_[machine].life, [this, machine, wanted, attempt, deadline] {
-    Side& here = side(machine);
-    const RouteTold& asked = kRoutes[wanted.route];
-    if (!here.sidecar->serving(now_)) return answered(machine, wanted, attempt, 503, 0, 300ms);
-    const auto known = here.sidecar->router().routes().find(kHost, asked.prefix);
-    const std::uint64_t least =
-        calm() && inTouch(machine) ? ledger_.newestAt(std::string("route/") + asked.name, now_ - kApply) : 0;
-    judge_.used(now_, static_cast<std::uint32_t>(machine * 100 + wanted.route), machines_[machine].life,
-                known ? known->generation.value : 0, least);
-    const std::uint64_t call = ++here.nextCall;
-    here.attemptOf[call] = attempt;
-    Asked told;
-    told.host = kHost;
-    told.path = asked.prefix;
-    told.patience = deadline - now_;
-    act(machine, here.sidecar->requestReceived(now_, {call}, told));
-    mayLeave(machine, call, deadline);
-  });
+  judge_.requestSent(now_, attempt, route.kind, request.key, route.service);
+  openAttempts_[attempt] = {machine, request};
+  if (!request.key.empty()) attemptKeys_[attempt] = request.key;
+  const Span deadline = request.deadline;
+  // A client stops waiting at its deadline.
+  runAt(deadline + 50ms, [this, attempt] { openAttempts_.erase(attempt); });
+  runOnProcess(now_ + 1ms, machine, machines_[machine].incarnation,
+               [this, machine, request, attempt, deadline] {
+                 SidecarHost& host = sidecarOn(machine);
+                 const RouteSpec& requestRoute = kRoutes[request.route];
+                 if (!host.sidecar->serving(now_))
+                   return responseReceived(machine, request, attempt, 503, 0, 300ms);
+                 const auto knownRoute = host.sidecar->router().routes().find(kHost, requestRoute.prefix);
+                 const std::uint64_t minimum =
+                     controlsStable() && sidecarStable(machine)
+                         ? ledger_.newestAt(std::string("route/") + requestRoute.name, now_ - kApplyTime)
+                         : 0;
+                 judge_.routeVersionUsed(now_, static_cast<std::uint32_t>(machine * 100 + request.route),
+                                         machines_[machine].incarnation,
+                                         knownRoute ? knownRoute->generation.value : 0, minimum);
+                 const std::uint64_t call = ++host.lastCallId;
+                 host.attemptOf[call] = attempt;
+                 Asked received;
+                 received.host = kHost;
+                 received.path = requestRoute.prefix;
+                 received.patience = deadline - now_;
+                 execute(machine, host.sidecar->requestReceived(now_, {call}, received));
+                 maybeDisconnect(machine, call, deadline);
+               });
 }
 
-void World::answered(std::size_t machine, const Wanted& wanted, std::uint64_t attempt, std::uint32_t status,
-                     std::uint64_t seal, Span comeBack) {
-  if (open_.erase(attempt) == 0) return;
-  if (status > 0) judge_.answered(now_, attempt, status, seal);
-  const RouteTold& route = kRoutes[wanted.route];
-  Wanted next = wanted;
+void World::responseReceived(std::size_t machine, const LoadRequest& request, std::uint64_t attempt,
+                             std::uint32_t status, std::uint64_t seal, Span retryAfter) {
+  if (openAttempts_.erase(attempt) == 0) return;
+  if (status > 0) judge_.responseReceived(now_, attempt, status, seal);
+  const RouteSpec& route = kRoutes[request.route];
+  LoadRequest next = request;
   if (status == 200) {
-    if (route.sort == Sort::keyed && !wanted.again && fraction(clients_) < day_.again) {
-      next.again = true;
-      next.until = now_ + span(route.deadline) + 1s;
-      const auto elsewhere = sideAt(static_cast<std::uint32_t>(fraction(clients_) * day_.sidecars));
-      in(span(fraction(clients_)), [this, elsewhere, next] { ask(elsewhere, next); });
+    if (route.kind == RequestKind::keyed && !request.isRepeat && fraction(clients_) < day_.repeatShare) {
+      next.isRepeat = true;
+      next.deadline = now_ + span(route.deadline) + 1s;
+      const auto otherMachine =
+          sidecarMachine(static_cast<std::uint32_t>(fraction(clients_) * day_.sidecars));
+      runAfter(span(fraction(clients_)), [this, otherMachine, next] { sendRequest(otherMachine, next); });
     }
     return;
   }
-  const bool promise = status == 503;
+  const bool guaranteesNotExecuted = status == 503;
   if (status >= 400 && status < 500 && status != 409) return;
-  if (route.sort == Sort::effectful && !promise) return;
-  if (++next.tries > 2 || next.until - now_ < 100ms) return;
-  const Span wait = std::min<Span>(comeBack, (next.until - now_) / 3) + 5ms;
-  const std::size_t again =
-      status == 0 ? sideAt(static_cast<std::uint32_t>(fraction(clients_) * day_.sidecars)) : machine;
-  in(wait, [this, again, next] { ask(again, next); });
+  if (route.kind == RequestKind::effectful && !guaranteesNotExecuted) return;
+  if (++next.tries > 2 || next.deadline - now_ < 100ms) return;
+  const Span wait = std::min<Span>(retryAfter, (next.deadline - now_) / 3) + 5ms;
+  const std::size_t target =
+      status == 0 ? sidecarMachine(static_cast<std::uint32_t>(fraction(clients_) * day_.sidecars)) : machine;
+  runAfter(wait, [this, target, next] { sendRequest(target, next); });
 }
 
-// A request from one process to the one beside a server, and the answer back.
+// Forwards a request from one sidecar to another and returns the reply.
 void World::forward(std::size_t machine, const RoutingAction& act) {
-  const std::uint64_t lifeA = machines_[machine].life;
-  const std::uint64_t attempt = side(machine).attemptOf.at(act.call.value);
-  const auto ended = [this, machine, call = act.call, sent = act.sent](
-                         ForwardResult how, const ForwardReply& told, std::uint32_t status,
-                         std::shared_ptr<const void> bytes) {
-    this->act(machine,
-              side(machine).sidecar->forwardCompleted(now_, call, sent, how, told, status, std::move(bytes)));
+  const std::uint64_t incarnationA = machines_[machine].incarnation;
+  const std::uint64_t attempt = sidecarOn(machine).attemptOf.at(act.call.value);
+  const auto complete = [this, machine, call = act.call, sent = act.sent](
+                            ForwardResult result, const ForwardReply& reply, std::uint32_t status,
+                            std::shared_ptr<const void> bytes) {
+    this->execute(machine, sidecarOn(machine).sidecar->forwardCompleted(now_, call, sent, result, reply,
+                                                                        status, std::move(bytes)));
   };
-  const auto target = machineAt(act.at.value);
-  const Span until = now_ + act.ask.left + 2 * kSpare;
-  const auto fails = [=, this](Span when, ForwardResult how) {
-    atProcess(when, machine, lifeA, [=] { ended(how, {}, 0, nullptr); });
+  const auto target = findMachine(act.at.value);
+  const Span until = now_ + act.ask.left + 2 * kTimeoutMargin;
+  const auto fail = [=, this](Span when, ForwardResult result) {
+    runOnProcess(when, machine, incarnationA, [=] { complete(result, {}, 0, nullptr); });
   };
-  if (!target || machines_[*target].dark || isCut(machine, *target))
-    return fails(now_ + 300ms, ForwardResult::notSent);
-  if (machines_[*target].life == 0) return fails(now_ + delay(machine, *target), ForwardResult::notSent);
+  if (!target || machines_[*target].poweredOff || isCut(machine, *target))
+    return fail(now_ + 300ms, ForwardResult::notSent);
+  if (machines_[*target].incarnation == 0)
+    return fail(now_ + delay(machine, *target), ForwardResult::notSent);
   const std::size_t to = *target;
-  const std::uint64_t lifeB = machines_[to].life;
-  const auto over = std::make_shared<bool>(false);
-  const auto finish = [=, this](Span when, ForwardResult how, const ForwardReply& told, std::uint32_t status,
-                                const std::shared_ptr<const void>& bytes) {
-    atProcess(when, machine, lifeA, [=] {
-      if (std::exchange(*over, true)) return;
-      ended(how, told, status, bytes);
+  const std::uint64_t incarnationB = machines_[to].incarnation;
+  const auto done = std::make_shared<bool>(false);
+  const auto finish = [=, this](Span when, ForwardResult result, const ForwardReply& reply,
+                                std::uint32_t status, const std::shared_ptr<const void>& bytes) {
+    runOnProcess(when, machine, incarnationA, [=] {
+      if (std::exchange(*done, true)) return;
+      complete(result, reply, status, bytes);
     });
   };
-  // Word of the other's end, of silence in the dark, and of the time that is over.
+  // Detects the end of the other process, an unreachable machine, and the timeout.
   const auto watch = std::make_shared<std::function<void()>>();
   *watch = [=, this, weak = std::weak_ptr(watch)] {
-    if (*over) return;
-    if (machines_[to].life != lifeB)
-      return finish(now_ + (machines_[to].dark ? kUnread : delay(machine, to)), ForwardResult::broken, {}, 0,
-                    nullptr);
+    if (*done) return;
+    if (machines_[to].incarnation != incarnationB)
+      return finish(now_ + (machines_[to].poweredOff ? kBreakDetectionTime : delay(machine, to)),
+                    ForwardResult::broken, {}, 0, nullptr);
     if (now_ >= until) return finish(now_, ForwardResult::silent, {}, 0, nullptr);
-    if (const auto self = weak.lock()) in(20ms, [self] { (*self)(); });
+    if (const auto self = weak.lock()) runAfter(20ms, [self] { (*self)(); });
   };
-  in(20ms, [watch] { (*watch)(); });
-  const auto received = std::make_shared<std::uint64_t>(0);  // as what the other process took it
-  side(machine).forwards[act.sent.value] = [=, this] {
-    *over = true;
-    atProcess(now_ + delay(machine, to), to, lifeB, [=, this] {
-      if (*received > 0) this->act(to, side(to).sidecar->forwardAbandoned(now_, {*received}));
+  runAfter(20ms, [watch] { (*watch)(); });
+  const auto received = std::make_shared<std::uint64_t>(0);  // the inbound number at the other process
+  sidecarOn(machine).forwards[act.sent.value] = [=, this] {
+    *done = true;
+    runOnProcess(now_ + delay(machine, to), to, incarnationB, [=, this] {
+      if (*received > 0) this->execute(to, sidecarOn(to).sidecar->forwardAbandoned(now_, {*received}));
     });
   };
-  atProcess(now_ + delay(machine, to), to, lifeB, [=, this, act = act] {
-    Side& there = side(to);
-    const std::uint64_t no = ++there.nextAsk;
-    *received = no;
-    there.asks[no] = {attempt, [=, this](const ForwardReply& told, std::uint32_t status, std::uint64_t,
-                                         const std::shared_ptr<const void>& bytes) {
-                        if (isCut(to, machine))
-                          return finish(now_ + kUnread, ForwardResult::broken, {}, 0, nullptr);
-                        // As bytes: what the header can't carry must not be known at the other end.
-                        const auto read = parseForwardReply(rackroute::mesh::textOf(told));
-                        finish(now_ + delay(to, machine), read ? ForwardResult::told : ForwardResult::broken,
-                               read.value_or(ForwardReply{}), status, bytes);
-                      }};
-    const auto heardAsk = parseForwardRequest(rackroute::mesh::textOf(act.ask));
+  runOnProcess(now_ + delay(machine, to), to, incarnationB, [=, this, act = act] {
+    SidecarHost& peer = sidecarOn(to);
+    const std::uint64_t inboundId = ++peer.lastInboundId;
+    *received = inboundId;
+    peer.inbound[inboundId] = {
+        attempt, [=, this](const ForwardReply& reply, std::uint32_t status, std::uint64_t,
+                           const std::shared_ptr<const void>& bytes) {
+          if (isCut(to, machine))
+            return finish(now_ + kBreakDetectionTime, ForwardResult::broken, {}, 0, nullptr);
+          // Encode and decode, so that only what the header carries reaches the caller.
+          const auto read = parseForwardReply(rackroute::mesh::textOf(reply));
+          finish(now_ + delay(to, machine), read ? ForwardResult::told : ForwardResult::broken,
+                 read.value_or(ForwardReply{}), status, bytes);
+        }};
+    const auto request = parseForwardRequest(rackroute::mesh::textOf(act.ask));
     std::optional<std::string> key;
     if (act.ask.kind == RouteKind::keyed) {
-      const auto open = keyOf_.find(attempt);
-      if (open != keyOf_.end()) key = open->second;
+      const auto open = attemptKeys_.find(attempt);
+      if (open != attemptKeys_.end()) key = open->second;
     }
-    this->act(to, there.sidecar->forwardReceived(now_, {no}, *heardAsk, key));
+    this->execute(to, peer.sidecar->forwardReceived(now_, {inboundId}, *request, key));
   });
 }
 
 void World::serve(std::size_t machine, const AdmissionAction& act) {
-  Side& here = side(machine);
-  Server& server = here.server;
-  const std::uint64_t life = machines_[machine].life;
-  const std::uint64_t attempt = here.asks.at(act.ask.value).attempt;
-  const auto ends = [this, machine, life, ask = act.ask](Span when, AtServer how, ServerAnswer answer) {
-    atProcess(when, machine, life, [=, this] {
-      this->act(machine, side(machine).sidecar->executionEnded(now_, ask, how, answer));
+  SidecarHost& host = sidecarOn(machine);
+  Server& server = host.server;
+  const std::uint64_t incarnation = machines_[machine].incarnation;
+  const std::uint64_t attempt = host.inbound.at(act.ask.value).attempt;
+  const auto end = [this, machine, incarnation, ask = act.ask](Span when, AtServer result,
+                                                               ServerAnswer answer) {
+    runOnProcess(when, machine, incarnation, [=, this] {
+      this->execute(machine, sidecarOn(machine).sidecar->executionEnded(now_, ask, result, answer));
     });
   };
-  if (!server.up) return ends(now_ + 100us, AtServer::notSent, {});
-  const Span until = now_ + act.left + kSpare;
+  if (!server.up) return end(now_ + 100us, AtServer::notSent, {});
+  const Span until = now_ + act.left + kTimeoutMargin;
   const auto bytesOf = [](std::uint32_t status, std::uint64_t seal) {
     return std::make_shared<const std::pair<std::uint32_t, std::uint64_t>>(status, seal);
   };
-  judge_.arrived(now_, attempt, server.service);
+  judge_.requestArrived(now_, attempt, server.service);
   if (server.id != act.instance.value)
-    return ends(now_ + 200us, AtServer::answered, {421, true, bytesOf(421, 0), 0});
-  const std::uint64_t serverLife = server.lives;
-  const Span giveUp = now_ + act.left;
-  const auto stopped = std::make_shared<bool>(false);  // its connection was closed
-  side(machine).runs[act.ask.value] = [stopped] { *stopped = true; };
+    return end(now_ + 200us, AtServer::answered, {421, true, bytesOf(421, 0), 0});
+  const std::uint64_t serverIncarnation = server.incarnation;
+  const Span startDeadline = now_ + act.left;
+  const auto stopped = std::make_shared<bool>(false);  // the connection was closed
+  sidecarOn(machine).executions[act.ask.value] = [stopped] { *stopped = true; };
   auto run = [=, this, left = act.left, ask = act.ask] {
-    Server& there = side(machine).server;
-    if (there.lives != serverLife) return;
-    if (*stopped) return freeSlot(machine, serverLife);
-    if (now_ >= giveUp) {
-      --there.busy;
-      return ends(now_, AtServer::answered, {503, true, bytesOf(503, 0), 0});
+    Server& current = sidecarOn(machine).server;
+    if (current.incarnation != serverIncarnation) return;
+    if (*stopped) return freeSlot(machine, serverIncarnation);
+    if (now_ >= startDeadline) {
+      --current.busy;
+      return end(now_, AtServer::answered, {503, true, bytesOf(503, 0), 0});
     }
     const std::uint64_t seal = ++sealNo_;
-    side(machine).lastRun = now_;
-    judge_.ran(now_, attempt, there.service, seal, there.drainAcked);
-    Distribution work{Shape::lognormal, day_.work, 0.6};
-    double takes = work.draw(clients_) * there.slow;
-    if (there.coldUntil > now_) takes *= 2;
-    const double luck = fraction(clients_);
-    const double loses = there.loses;
-    const double spoils = there.spoils;
-    const Span done = now_ + span(takes);
+    sidecarOn(machine).lastExecutionAt = now_;
+    judge_.executionStarted(now_, attempt, current.service, seal, current.drainAckedAt);
+    Distribution work{Shape::lognormal, day_.meanServiceTime, 0.6};
+    double serviceTime = work.draw(clients_) * current.slowdown;
+    if (current.coldUntil > now_) serviceTime *= 2;
+    const double outcome = fraction(clients_);
+    const double lossShare = current.lossShare;
+    const double malformedShare = current.malformedShare;
+    const Span done = now_ + span(serviceTime);
     const auto stop = [=, this] {
       if (std::exchange(*stopped, true)) return;
-      judge_.worked(now_, attempt, done - now_);
-      freeSlot(machine, serverLife);
+      judge_.executionFinished(now_, attempt, done - now_);
+      freeSlot(machine, serverIncarnation);
     };
-    side(machine).runs[ask.value] = stop;
-    at(done, [=, this] {
-      side(machine).runs.erase(ask.value);
+    sidecarOn(machine).executions[ask.value] = stop;
+    runAt(done, [=, this] {
+      sidecarOn(machine).executions.erase(ask.value);
       stop();
     });
-    at(std::min(done, until), [=, this] {
-      if (side(machine).server.lives != serverLife) return ends(now_, AtServer::broken, {});
-      if (done > until) return ends(now_, AtServer::timedOut, {});
-      if (luck < loses)
-        return ends(luck < loses / 2 ? now_ : until, luck < loses / 2 ? AtServer::broken : AtServer::timedOut,
-                    {});
-      if (luck < loses + spoils) return ends(now_, AtServer::spoilt, {});
-      ends(now_, AtServer::answered, {200, false, bytesOf(200, seal), 5000});
+    runAt(std::min(done, until), [=, this] {
+      if (sidecarOn(machine).server.incarnation != serverIncarnation) return end(now_, AtServer::broken, {});
+      if (done > until) return end(now_, AtServer::timedOut, {});
+      if (outcome < lossShare)
+        return end(outcome < lossShare / 2 ? now_ : until,
+                   outcome < lossShare / 2 ? AtServer::broken : AtServer::timedOut, {});
+      if (outcome < lossShare + malformedShare) return end(now_, AtServer::spoilt, {});
+      end(now_, AtServer::answered, {200, false, bytesOf(200, seal), 5000});
     });
   };
   if (server.busy < day_.slots) {
     ++server.busy;
-    in(100us, run);
+    runAfter(100us, run);
   } else if (server.queue.size() < 4 * day_.slots) {
     server.queue.push_back(run);
   } else {
-    ends(now_ + 200us, AtServer::answered, {503, true, bytesOf(503, 0), 0});
+    end(now_ + 200us, AtServer::answered, {503, true, bytesOf(503, 0), 0});
   }
 }
 
--- a/src/lab/mesh/world_servers.cpp
+++ b/src/lab/mesh/world_servers.cpp
@@ -1,104 +1,110 @@
-// The emulated mesh's servers: their calls to the process beside them, and how they leave. Some sign off
-// without draining first, some serve on for seconds after that, and some calls come late.
+// The servers of the emulated mesh: their calls to the sidecar and their shutdown. Some sign off without
+// draining, some keep serving for seconds after the drain, and some calls are delayed.
 
-#include "lab/mesh/emulated.hpp"
+#include "lab/mesh/emulated_world.hpp"
 
 namespace rackroute::lab::mesh::emulated {
 namespace {
 
-constexpr double kSignOffFirst = 0.3;  // of the servers, without draining first
-constexpr double kServesOn = 0.5;      // of the servers, for seconds and not just over the drain
-constexpr double kLongestOn = 6;       // seconds
-constexpr double kLate = 0.05;         // of the calls
-constexpr double kLatest = 3;          // seconds
-constexpr Span kEndsAnyway = 9s;       // with no acknowledgement, from the first word
+constexpr double kSignOffFirstShare = 0.3;      // of the servers sign off without draining
+constexpr double kServesAfterDrainShare = 0.5;  // of the servers keep serving for seconds after the drain
+constexpr double kMaxExtraTime = 6;             // seconds
+constexpr double kLateCallShare = 0.05;         // of the calls are delayed
+constexpr double kMaxCallDelay = 3;             // seconds
+constexpr Span kShutdownTimeout = 9s;           // without an acknowledgement
 
 }  // namespace
 
-void World::beat(std::size_t machine, std::uint64_t serverLife) {
-  Server& server = side(machine).server;
-  if (server.lives != serverLife || !server.up) return;
-  in(kBeat, [this, machine, serverLife] { beat(machine, serverLife); });
-  if (server.draining && server.leavesSince < Span{0}) beginsToLeave(machine, serverLife);
-  Beat told;
-  told.id = {server.id};
-  told.service = {serviceName(server.service)};
-  told.address = {machines_[machine].name + ":app"};
-  told.zone = "z" + std::to_string(machines_[machine].zone);
-  told.capacity = day_.slots;
-  told.draining = server.draining && !server.signsOffFirst;
-  told.seq = ++server.seq;
-  told.coldLeft = std::max(Span{0}, server.coldUntil - now_);
+void World::sendHeartbeat(std::size_t machine, std::uint64_t serverIncarnation) {
+  Server& server = sidecarOn(machine).server;
+  if (server.incarnation != serverIncarnation || !server.up) return;
+  runAfter(kHeartbeatInterval,
+           [this, machine, serverIncarnation] { sendHeartbeat(machine, serverIncarnation); });
+  if (server.draining && server.shutdownSince < Span{0}) startShutdown(machine, serverIncarnation);
+  Beat beat;
+  beat.id = {server.id};
+  beat.service = {serviceName(server.service)};
+  beat.address = {machines_[machine].name + ":app"};
+  beat.zone = "z" + std::to_string(machines_[machine].zone);
+  beat.capacity = day_.slots;
+  beat.draining = server.draining && !server.signsOffFirst;
+  beat.seq = ++server.seq;
+  beat.coldLeft = std::max(Span{0}, server.coldUntil - now_);
   if (server.draining && server.signsOffFirst) {
-    // What it says now is its sign-off; a last beat, of before that, may still be on its way.
-    if (server.drainAcked >= Span{0}) return;
-    if (fraction(clients_) < kLate) callLate(machine, serverLife, told);
-    Beat gone;
-    gone.id = told.id;
-    gone.gone = true;
-    return call(machine, serverLife, gone);
+    // It signs off; an earlier heartbeat may be delayed past that.
+    if (server.drainAckedAt >= Span{0}) return;
+    if (fraction(clients_) < kLateCallShare) sendServerCallLate(machine, serverIncarnation, beat);
+    Beat signOff;
+    signOff.id = beat.id;
+    signOff.gone = true;
+    return sendServerCall(machine, serverIncarnation, signOff);
   }
-  if (fraction(clients_) < kLate) return callLate(machine, serverLife, told);
-  call(machine, serverLife, told);
+  if (fraction(clients_) < kLateCallShare) return sendServerCallLate(machine, serverIncarnation, beat);
+  sendServerCall(machine, serverIncarnation, beat);
 }
 
-void World::callLate(std::size_t machine, std::uint64_t serverLife, const Beat& told) {
-  in(span(kLatest * fraction(clients_)),
-     [this, machine, serverLife, told] { call(machine, serverLife, told); });
+void World::sendServerCallLate(std::size_t machine, std::uint64_t serverIncarnation, const Beat& beat) {
+  runAfter(span(kMaxCallDelay * fraction(clients_)),
+           [this, machine, serverIncarnation, beat] { sendServerCall(machine, serverIncarnation, beat); });
 }
 
-void World::call(std::size_t machine, std::uint64_t serverLife, const Beat& told) {
+void World::sendServerCall(std::size_t machine, std::uint64_t serverIncarnation, const Beat& beat) {
   const Machine& m = machines_[machine];
-  if (m.life == 0 || m.dark || m.frozenUntil > now_) return;
-  Side& here = side(machine);
-  const ServerCallNo no{++here.nextServerCall};
-  here.serverCalls[no] = {serverLife, told.draining || told.gone};
-  act(machine, here.sidecar->serverCalled(now_, no, told));
+  if (m.incarnation == 0 || m.poweredOff || m.frozenUntil > now_) return;
+  SidecarHost& host = sidecarOn(machine);
+  const ServerCallNo no{++host.lastServerCallId};
+  host.serverCalls[no] = {serverIncarnation, beat.draining || beat.gone};
+  execute(machine, host.sidecar->serverCalled(now_, no, beat));
 }
 
-void World::answered(std::size_t machine, const ServerCallResponse& answer) {
-  Side& here = side(machine);
-  const auto found = here.serverCalls.find(answer.call);
-  if (found == here.serverCalls.end()) return;
-  const auto [serverLife, leaves] = found->second;
-  here.serverCalls.erase(found);
-  Server& server = here.server;
-  if (!answer.acknowledged || !leaves || server.lives != serverLife || server.drainAcked >= Span{0}) return;
-  server.drainAcked = now_;
-  const bool servesOn = fraction(clients_) < kServesOn;
-  const Span longer = servesOn ? span(kLongestOn * fraction(clients_)) : Span{500ms};
-  in(kDrain + longer, [this, machine, serverLife = serverLife] { ends(machine, serverLife); });
+void World::serverCallAnswered(std::size_t machine, const ServerCallResponse& response) {
+  SidecarHost& host = sidecarOn(machine);
+  const auto found = host.serverCalls.find(response.call);
+  if (found == host.serverCalls.end()) return;
+  const auto [serverIncarnation, shutsDown] = found->second;
+  host.serverCalls.erase(found);
+  Server& server = host.server;
+  if (!response.acknowledged || !shutsDown || server.incarnation != serverIncarnation ||
+      server.drainAckedAt >= Span{0})
+    return;
+  server.drainAckedAt = now_;
+  const bool servesAfterDrain = fraction(clients_) < kServesAfterDrainShare;
+  const Span extra = servesAfterDrain ? span(kMaxExtraTime * fraction(clients_)) : Span{500ms};
+  runAfter(kDrainTime + extra,
+           [this, machine, serverIncarnation = serverIncarnation] { endServer(machine, serverIncarnation); });
 }
 
-void World::beginsToLeave(std::size_t machine, std::uint64_t serverLife) {
-  Server& server = side(machine).server;
-  server.leavesSince = now_;
-  server.signsOffFirst = fraction(clients_) < kSignOffFirst;
-  in(kEndsAnyway, [this, machine, serverLife] {
-    const Server& then = side(machine).server;
-    if (then.lives == serverLife && then.drainAcked < Span{0}) ends(machine, serverLife);
+void World::startShutdown(std::size_t machine, std::uint64_t serverIncarnation) {
+  Server& server = sidecarOn(machine).server;
+  server.shutdownSince = now_;
+  server.signsOffFirst = fraction(clients_) < kSignOffFirstShare;
+  runAfter(kShutdownTimeout, [this, machine, serverIncarnation] {
+    const Server& current = sidecarOn(machine).server;
+    if (current.incarnation == serverIncarnation && current.drainAckedAt < Span{0})
+      endServer(machine, serverIncarnation);
   });
 }
 
-void World::ends(std::size_t machine, std::uint64_t serverLife) {
-  if (side(machine).server.lives != serverLife) return;
-  Beat gone;
-  gone.id = {side(machine).server.id};
-  gone.gone = true;
-  call(machine, serverLife, gone);
-  newServer(machine);
+void World::endServer(std::size_t machine, std::uint64_t serverIncarnation) {
+  if (sidecarOn(machine).server.incarnation != serverIncarnation) return;
+  Beat signOff;
+  signOff.id = {sidecarOn(machine).server.id};
+  signOff.gone = true;
+  sendServerCall(machine, serverIncarnation, signOff);
+  startServer(machine);
 }
 
-void World::newServer(std::size_t machine) {
-  Server& server = side(machine).server;
+void World::startServer(std::size_t machine) {
+  Server& server = sidecarOn(machine).server;
   const int service = server.service;
-  const std::uint64_t lives = server.lives + 1;
+  const std::uint64_t incarnation = server.incarnation + 1;
   server = Server{};
   server.service = service;
-  server.lives = lives;
-  server.id = "i-" + machines_[machine].name + "-" + std::to_string(lives);
+  server.incarnation = incarnation;
+  server.id = "i-" + machines_[machine].name + "-" + std::to_string(incarnation);
   server.coldUntil = now_ + 2s;
-  in(span(0.3 * fraction(network_)), [this, machine, lives] { beat(machine, lives); });
+  runAfter(span(0.3 * fraction(network_)),
+           [this, machine, incarnation] { sendHeartbeat(machine, incarnation); });
 }
 
 }  // namespace rackroute::lab::mesh::emulated
--- a/tests/abandoned_requests_test.cpp
+++ b/tests/abandoned_requests_test.cpp
@@ -72,8 +72,8 @@
 TEST_CASE("on a day on which half of the clients leave early no server works on for them") {
   const auto day = lab::mesh::readDay(std::string(RACKROUTE_LAB_MESH) + "/clients-leave.toml");
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const lab::mesh::Played played = lab::mesh::play(day, seed);
-    for (const lab::mesh::Broken& broken : played.broken) FAIL(broken.rule + ": " + broken.what);
+    const lab::mesh::DayResult played = lab::mesh::runDay(day, seed);
+    for (const lab::mesh::Violation& broken : played.violations) FAIL(broken.rule + ": " + broken.detail);
     CHECK(played.figures.at("runs_that_clients_left").get<std::uint64_t>() > 50);
   }
 }
--- a/tests/database_test.cpp
+++ b/tests/database_test.cpp
@@ -120,7 +120,7 @@
   Lives lives;
   for (int life = 0; life < 12; ++life) {
     // Some processes end while they open the database, others while they write, and some in between.
-    if (machine.below(3) > 0) machine.files().endAfter(machine.below(120));
+    if (machine.below(3) > 0) machine.files().failAfter(machine.below(120));
     const OpenOutcome outcome = machine.start();
     if (outcome.state == OpenState::unreadable) {
       ++lives.unreadable;
@@ -129,9 +129,9 @@
     const std::uint64_t writes = machine.below(40);
     const std::size_t size = machine.below(2) == 0 ? 20 : 60'000;
     for (std::uint64_t i = 0; i < writes && outcome.state == OpenState::opened; ++i) {
-      if (machine.below(10) == 0) machine.files().full(true);
+      if (machine.below(10) == 0) machine.files().setFull(true);
       machine.write(size);
-      machine.files().full(false);
+      machine.files().setFull(false);
     }
     machine.end(machine.below(2) == 0);
   }
@@ -168,9 +168,9 @@
   REQUIRE(machine.start().state == OpenState::opened);
   machine.write(20);
   machine.end(false);
-  machine.files().full(true);
+  machine.files().setFull(true);
   CHECK(machine.start().state == OpenState::refused);
-  machine.files().full(false);
+  machine.files().setFull(false);
   CHECK(machine.start().state == OpenState::opened);
   machine.end(false);
   REQUIRE(machine.files().RemoveFile("/data/held/CURRENT").ok());
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -690,15 +690,15 @@
 TEST_CASE("a whole mesh keeps the rules on drawn days, and plays a seed the same each time", ) {
   lab::mesh::Day size;
   size.seconds = 22;
-  size.perSecond = 90;
-  size.leastServed = 0.8;
+  size.requestRate = 90;
+  size.minServedShare = 0.8;
   for (std::uint64_t seed = 500; seed < 512; ++seed) {
-    const lab::mesh::Played played = lab::mesh::play(lab::mesh::drawDay(seed, size), seed);
-    for (const auto& broken : played.broken)
-      UNSCOPED_INFO("seed " << seed << ": " << broken.rule << ' ' << broken.what);
-    REQUIRE(played.kept());
+    const lab::mesh::DayResult played = lab::mesh::runDay(lab::mesh::drawDay(seed, size), seed);
+    for (const auto& broken : played.violations)
+      UNSCOPED_INFO("seed " << seed << ": " << broken.rule << ' ' << broken.detail);
+    REQUIRE(played.passed());
     CHECK(played.figures.at("repeats_answered").get<int>() > 0);
   }
   const auto twice = lab::mesh::drawDay(500, size);
-  CHECK(lab::mesh::play(twice, 500).figures == lab::mesh::play(twice, 500).figures);
+  CHECK(lab::mesh::runDay(twice, 500).figures == lab::mesh::runDay(twice, 500).figures);
 }
