--- a/src/lab/mesh/orders.cpp
+++ b/src/lab/mesh/orders.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-std::string textOf(const Register& at) { return at.key + " version " + std::to_string(at.version); }
+std::string textOf(const ItemVersion& at) { return at.key + " version " + std::to_string(at.version); }
 
 /// "r17" as 17.
 std::uint64_t versionIn(const json& value) {
@@ -104,14 +104,14 @@
 
 // Exempts versions that the control plane may have forgotten: an order with a version far below the newest
 // ones is acknowledged without effect.
-bool OrderLedger::isRemembered(const Register& at) const {
+bool OrderLedger::isRemembered(const ItemVersion& at) const {
   const auto found = acknowledgedVersions_.find(at.key);
   if (found == acknowledgedVersions_.end()) return true;
   const auto later = std::distance(found->second.upper_bound(at.version), found->second.end());
   return static_cast<std::size_t>(later) < kRememberedVersions;
 }
 
-const Order* OrderLedger::orderOf(const Register& at, const std::string& value) const {
+const Order* OrderLedger::orderOf(const ItemVersion& at, const std::string& value) const {
   const auto values = sent_.find(at);
   if (values == sent_.end()) return nullptr;
   const auto sent = values->second.find(value);
@@ -119,7 +119,7 @@
 }
 
 // A value that is acknowledged, applied or read back has been decided, and each version is decided only once.
-void OrderLedger::checkDecided(Span now, const Register& at, const std::string& value,
+void OrderLedger::checkDecided(Span now, const ItemVersion& at, const std::string& value,
                                const std::string& where) {
   const Order* const order = orderOf(at, value);
   if (order == nullptr)
@@ -151,7 +151,7 @@
     if (!order.acknowledged) ++acknowledged_;
     order.acknowledged = true;
     for (const auto& entry : order.values) {
-      const Register& at = entry.first;
+      const ItemVersion& at = entry.first;
       acknowledgedVersions_[at.key].insert(at.version);
       auto& newest = acknowledgedAt_[at.key];
       if (newest.empty() || newest.back().second < at.version) newest.emplace_back(now, at.version);
@@ -170,12 +170,12 @@
   }
 }
 
-void OrderLedger::valueApplied(Span now, std::size_t sidecar, std::uint64_t incarnation, const Register& at,
-                               const std::string& value) {
+void OrderLedger::valueApplied(Span now, std::size_t sidecar, std::uint64_t incarnation,
+                               const ItemVersion& at, const std::string& value) {
   const std::pair<std::size_t, std::string> place{sidecar, at.key};
   const auto last = applied_.find(place);
   if (last != applied_.end() && last->second.first == incarnation) {
-    const Register& before = last->second.second;
+    const ItemVersion& before = last->second.second;
     if (before == at && appliedValues_[place] == value) return;
     if (before.version > at.version)
       reportOnce(now, "went back", textOf(before),
@@ -197,7 +197,7 @@
                              const std::string& rule) {
   MinVersions versions;
   const auto take = [&](const std::string& kind, const json& value) {
-    const Register at{kind + value.at("name").get<std::string>(), versionIn(value)};
+    const ItemVersion at{kind + value.at("name").get<std::string>(), versionIn(value)};
     versions[at.key] = at.version;
     checkDecided(now, at, value.dump(), "read back");
   };
--- a/src/lab/mesh/orders.hpp
+++ b/src/lab/mesh/orders.hpp
@@ -25,10 +25,10 @@
 inline constexpr std::size_t kRememberedVersions = 32;
 
 /// An item and version; at most one value may ever be acknowledged or in force for it.
-struct Register {
+struct ItemVersion {
   std::string key;  // for example "route/pay" or "service/desk"
   std::uint64_t version = 0;
-  auto operator<=>(const Register&) const = default;
+  auto operator<=>(const ItemVersion&) const = default;
 };
 
 using OrderNo = std::uint64_t;
@@ -36,10 +36,10 @@
 /// A configuration change that an operator submits.
 struct Order {
   OrderNo no = 0;
-  std::string body;                        // of the PATCH request
-  std::map<Register, std::string> values;  // as JSON
+  std::string body;                           // of the PATCH request
+  std::map<ItemVersion, std::string> values;  // as JSON
   bool valid = true;
-  std::set<Register> superseded;  // a later version was acknowledged before this was sent: without effect
+  std::set<ItemVersion> superseded;  // a later version was acknowledged before this was sent: without effect
   bool acknowledged = false;
   bool rejected = false;
 };
@@ -69,7 +69,7 @@
   /// The operator received this response.
   void responseReceived(Span now, OrderNo no, std::uint32_t status);
   /// A sidecar process applied the value.
-  void valueApplied(Span now, std::size_t sidecar, std::uint64_t incarnation, const Register& at,
+  void valueApplied(Span now, std::size_t sidecar, std::uint64_t incarnation, const ItemVersion& at,
                     const std::string& value);
   /// A read returned this configuration; `minimum` was taken when the read started. Stale items break the
   /// rule.
@@ -88,10 +88,10 @@
  private:
   OrderNo add(Order order, nlohmann::json services, nlohmann::json routes);
   /// The order that sent this value for this version; null if there is none.
-  [[nodiscard]] const Order* orderOf(const Register& at, const std::string& value) const;
+  [[nodiscard]] const Order* orderOf(const ItemVersion& at, const std::string& value) const;
   /// Checks a value that was acknowledged, applied or read back.
-  void checkDecided(Span now, const Register& at, const std::string& value, const std::string& where);
-  [[nodiscard]] bool isRemembered(const Register& at) const;
+  void checkDecided(Span now, const ItemVersion& at, const std::string& value, const std::string& where);
+  [[nodiscard]] bool isRemembered(const ItemVersion& at) const;
   /// Reports each check once per subject, as one fault shows at many sidecars.
   void reportOnce(Span now, const char* check, const std::string& subject, const std::string& detail);
 
@@ -99,11 +99,11 @@
   std::uint64_t version_ = 10;
   std::size_t routeCount_ = 0;
   std::map<OrderNo, Order> orders_;
-  std::map<Register, std::map<std::string, OrderNo>> sent_;  // the order of each value
-  std::map<Register, std::string> decided_;                  // the value acknowledged, applied or read
+  std::map<ItemVersion, std::map<std::string, OrderNo>> sent_;  // the order of each value
+  std::map<ItemVersion, std::string> decided_;                  // the value acknowledged, applied or read
   std::map<std::string, std::vector<std::pair<Span, std::uint64_t>>> acknowledgedAt_;  // ascending in both
   std::map<std::string, std::set<std::uint64_t>> acknowledgedVersions_;
-  std::map<std::pair<std::size_t, std::string>, std::pair<std::uint64_t, Register>>
+  std::map<std::pair<std::size_t, std::string>, std::pair<std::uint64_t, ItemVersion>>
       applied_;  // incarnation, version
   std::map<std::pair<std::size_t, std::string>, std::string> appliedValues_;
   std::set<std::string> reported_;  // checks and subjects of reported violations
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -106,15 +106,15 @@
 }
 
 TEST_CASE("the ledger detects an applied value of a rejected order, before or after the rejection") {
-  for (const bool refusedFirst : {true, false}) {
+  for (const bool rejectedFirst : {true, false}) {
     LedgerFixture ledger;
     const OrderNo winner = ledger.orders.change({{0, 20}}, true);
     const OrderNo loser = ledger.orders.change({{0, 20}, {1, 21}}, true);
     ledger.orders.acknowledgedByControl(2s, winner);
-    if (refusedFirst) ledger.orders.responseReceived(2s, loser, 409);
-    const Register part{"route/order", 21};
+    if (rejectedFirst) ledger.orders.responseReceived(2s, loser, 409);
+    const ItemVersion part{"route/order", 21};
     ledger.orders.valueApplied(3s, 4, 1, part, ledger.orders.order(loser).values.at(part));
-    if (!refusedFirst) ledger.orders.responseReceived(4s, loser, 409);
+    if (!rejectedFirst) ledger.orders.responseReceived(4s, loser, 409);
     CHECK(ledger.brokenRules() == std::set<std::string>{"CONFIG refused in force"});
   }
 }
@@ -159,30 +159,30 @@
 }
 
 TEST_CASE("generated days have every kind of fault and never lose two control disks at once") {
-  std::set<FaultKind> drawn;
+  std::set<FaultKind> kinds;
   for (std::uint64_t seed = 0; seed < 120; ++seed) {
     const Day day = drawDay(seed, worstCaseDay());
     REQUIRE(day.controls >= 3);
     REQUIRE(day.controls <= 5);
     double diskLostUntil = 0;  // including the time to catch up
     for (const Fault& fault : day.faults) {
-      drawn.insert(fault.kind);
+      kinds.insert(fault.kind);
       const bool replaced = fault.kind == FaultKind::replaceControl;
       if (fault.kind != FaultKind::wipeControl && !replaced) continue;
       CHECK(fault.at >= diskLostUntil);
       diskLostUntil = fault.at + (replaced ? fault.magnitude : fault.duration) + kCatchUpSeconds;
     }
   }
-  CHECK(drawn.size() == emulatedFaultKinds().size());
+  CHECK(kinds.size() == emulatedFaultKinds().size());
 }
 
 TEST_CASE("an emulated day is deterministic and reports its faults and its duration") {
   const Day day = drawDay(7, worstCaseDay());
   const DayResult one = runDay(day, 7);
   CHECK(one.figures == runDay(day, 7).figures);
-  std::uint64_t struck = 0;
-  for (const auto& entry : one.figures.at("struck").items()) struck += entry.value().get<std::uint64_t>();
-  CHECK(struck == day.faults.size());
+  std::uint64_t injected = 0;
+  for (const auto& entry : one.figures.at("struck").items()) injected += entry.value().get<std::uint64_t>();
+  CHECK(injected == day.faults.size());
   CHECK(one.figures.at("virtual_s").get<double>() > day.seconds);
 }
 
