--- a/src/lab/mesh/day.hpp
+++ b/src/lab/mesh/day.hpp
@@ -29,7 +29,7 @@
   serverCrash,            // ends without signing off; a new instance starts in its place
   release,                // drains and signs off; a new instance starts in its place
   termSidecar,            // SIGTERM, then a restart
-  change,                 // a valid change of a route
+  change,                 // a valid change of one route
   race,                   // two operators send different values of one version to two control nodes
   badChange,              // an invalid change
   replaceControl,         // the machine is lost; after `magnitude` seconds an empty one starts elsewhere
@@ -51,10 +51,11 @@
   raceMany,               // two such changes that share one route's version
   oldChange,              // a change; once it is acknowledged, one of a lower version at another control node
   newService,             // a service; once it is acknowledged, a route to it at another control node
-  resetForwards,          // connections from other sidecars to one sidecar are reset; real processes only
+  resetForwards,          // `magnitude` of the connections to one sidecar are reset; real processes only
   hangUp,                 // SIGHUP to a control or sidecar process; real processes only
 };
 
+/// A fault or operator action injected during a day.
 struct Fault {
   FaultKind kind = FaultKind::change;
   double at = 0;             // seconds
@@ -70,7 +71,7 @@
   std::string name = "day";
   std::uint32_t zones = 4;
   std::uint32_t controls = 4;
-  std::uint32_t sidecars = 10;  // each with a server, alternating between the two services
+  std::uint32_t sidecars = 10;  // each with a server; services alternate
   double seconds = 30;
   double requestRate = 150;        // client requests per second
   double keyedShare = 0.4;         // of the requests
--- a/src/lab/mesh/emulated_files.cpp
+++ b/src/lab/mesh/emulated_files.cpp
@@ -300,7 +300,7 @@
   return Status::OK();
 }
 
-// --- the rest
+// --- locks, background work and logs
 
 Status EmulatedFiles::LockFile(const std::string&, leveldb::FileLock** lock) {
   *lock = new NoLock;  // only one process at a time uses the disk
--- a/src/lab/mesh/emulated_world.hpp
+++ b/src/lab/mesh/emulated_world.hpp
@@ -48,6 +48,7 @@
 inline constexpr int kMaxTries = 60;           // of an operator for one order
 inline constexpr Span kWallClockStart = std::chrono::hours(24 * 365 * 50);  // at the start
 
+/// One run of a day. Events are executed in the order of their time, then of their submission.
 class World {
  public:
   World(const Day& day, std::uint64_t seed)
@@ -204,7 +205,7 @@
   void receive(std::size_t machine, const LinkPtr& link, const std::string& text);
 
   // --- processes
-  std::size_t addMachine(bool core, std::uint32_t number, std::uint32_t zone);
+  std::size_t addMachine(bool isControl, std::uint32_t number, std::uint32_t zone);
   void startControl(std::size_t machine);
   void startSidecar(std::size_t machine);
   /// Starts the process after this delay unless one is running by then.
@@ -240,6 +241,7 @@
   void cancelForward(std::size_t machine, const RoutingAction& action);
   void cancelExecution(std::size_t machine, const AdmissionAction& action);
   void freeSlot(std::size_t machine, std::uint64_t serverIncarnation);
+
   // --- servers
   void sendHeartbeat(std::size_t machine, std::uint64_t serverIncarnation);
   void sendServerCall(std::size_t machine, std::uint64_t serverIncarnation, const Beat& beat);
@@ -271,7 +273,7 @@
   [[nodiscard]] std::map<std::uint32_t, std::uint64_t> pickRoutes(std::uint32_t minCount,
                                                                   std::uint32_t maxCount);
   [[nodiscard]] bool dropsResponse() {
-    return now_ < answersLostUntil_ && fraction(operators_) < answersLost_;
+    return now_ < answersLostUntil_ && fraction(operators_) < lostAnswerShare_;
   }
   void readBack(std::uint32_t control, int tries);
   [[nodiscard]] std::size_t knownControl(std::uint32_t number) const {
@@ -342,8 +344,7 @@
   std::vector<std::size_t> controlSlots_;   // machine by control node number
   std::vector<std::size_t> knownControls_;  // the control nodes known to operators and new processes
   std::map<std::string, std::size_t> byAddress_;
-  std::multiset<std::pair<std::size_t, std::size_t>>
-      cuts_;  // (from, to), once for each active fault that cuts this direction
+  std::multiset<std::pair<std::size_t, std::size_t>> cuts_;  // (from, to), once per cut
   std::vector<LinkPtr> links_;
   std::map<std::size_t, std::map<std::string, LinkPtr>> sidecarSessions_;    // by sidecar, then address
   std::map<std::size_t, std::map<std::uint64_t, LinkPtr>> controlSessions_;  // by control node, then number
@@ -357,10 +358,9 @@
   Span end_{};
   std::map<std::string, std::uint64_t> injectedFaults_;  // by kind
   Span answersLostUntil_{};
-  double answersLost_ = 0;
+  double lostAnswerShare_ = 0;
   std::function<void()> onNextAcknowledgement_;
-  std::map<std::uint32_t, std::uint64_t>
-      stormRace_;  // routes and versions of an order that a second one may reuse
+  std::map<std::uint32_t, std::uint64_t> stormRace_;                             // route versions to reuse
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> messageStats_;  // messages and bytes by type
   std::uint64_t syncs_ = 0;
   std::size_t lateReports_ = 0;  // reported sidecars that had not applied a version in time
--- a/src/lab/mesh/judge.hpp
+++ b/src/lab/mesh/judge.hpp
@@ -14,16 +14,20 @@
 
 namespace rackroute::lab::mesh {
 
+/// An observed violation of a rule.
 struct Violation {
   std::string rule;
   double at = 0;
   std::string detail;
 };
 
+/// Requests that may be repeated freely, have side effects, or carry an idempotency key.
 enum class RequestKind { pure, effectful, keyed };
 
+/// Collects observations and the violations found in them. Times are relative to the start of the run.
 class Judge {
  public:
+  /// Time limits and the retry budget that the rules allow.
   struct Bounds {
     Span drain{}, apply{}, keyWindow{}, retryWindow{};
     double retryRatio = 0;
--- a/src/lab/mesh/orders.hpp
+++ b/src/lab/mesh/orders.hpp
@@ -47,6 +47,7 @@
 /// Minimum versions, by item key, that reads must return and sidecars must have applied.
 using MinVersions = std::map<std::string, std::uint64_t>;
 
+/// The record of all orders of a day. Violations are reported to the judge.
 class OrderLedger {
  public:
   explicit OrderLedger(Judge& judge) : judge_(judge) {}
--- a/src/lab/mesh/world.hpp
+++ b/src/lab/mesh/world.hpp
@@ -14,6 +14,7 @@
 
 namespace rackroute::lab::mesh {
 
+/// The violations and figures of one run.
 struct DayResult {
   std::vector<Violation> violations;
   nlohmann::json figures;  // counts of requests, faults and messages
--- a/src/lab/mesh/world_faults.cpp
+++ b/src/lab/mesh/world_faults.cpp
@@ -70,7 +70,7 @@
     case FaultKind::storm:
       return startStorm(fault);
     default:
-      answersLost_ = fault.magnitude;
+      lostAnswerShare_ = fault.magnitude;
       answersLostUntil_ = now_ + span(fault.duration);
   }
 }
@@ -141,8 +141,8 @@
                         const std::function<void()>& then) {
   const Machine& m = machines_[sidecar];
   if (m.incarnation != incarnation) return then();
-  const bool quiet = sidecarOn(sidecar).sidecar->inFlight() == 0 && m.lastRequestAt + kQuietPeriod <= now_;
-  if ((!quiet || now_ < since + kMinDrainTime) && now_ < since + kGracePeriod - kKillMargin)
+  const bool idle = sidecarOn(sidecar).sidecar->inFlight() == 0 && m.lastRequestAt + kQuietPeriod <= now_;
+  if ((!idle || now_ < since + kMinDrainTime) && now_ < since + kGracePeriod - kKillMargin)
     return runAfter(kDrainPollInterval, [this, sidecar, incarnation, since, then] {
       finishDrain(sidecar, incarnation, since, then);
     });
--- a/src/lab/mesh/world_processes.cpp
+++ b/src/lab/mesh/world_processes.cpp
@@ -4,12 +4,12 @@
 
 namespace rackroute::lab::mesh::emulated {
 
-std::size_t World::addMachine(bool isCore, std::uint32_t number, std::uint32_t zone) {
+std::size_t World::addMachine(bool isControl, std::uint32_t number, std::uint32_t zone) {
   Machine m;
-  m.isControl = isCore;
+  m.isControl = isControl;
   m.number = number;
   m.zone = zone;
-  m.name = (isCore ? "v" : "s") + std::to_string(number);
+  m.name = (isControl ? "v" : "s") + std::to_string(number);
   byAddress_[m.name + ":1"] = machines_.size();
   machines_.push_back(std::move(m));
   return machines_.size() - 1;
