--- a/src/lab/mesh/process_children.cpp
+++ b/src/lab/mesh/process_children.cpp
@@ -125,7 +125,7 @@
 
 void ProcessChildren::checkExits() {
   for (const std::size_t place : children_.endedByThemselves()) {
-    context_.judge.failed(
+    context_.judge.reportViolation(
         context_.now(), "ENDED",
         context_.machines.nameOf(static_cast<std::uint32_t>(place)) + " exited unexpectedly");
   }
--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -25,19 +25,19 @@
 }  // namespace
 
 void ProcessClients::scheduleArrival() {
-  if (context_.now() >= context_.loadEnd || context_.day.perSecond <= 0) return;
-  context_.loop.in(spanOf(-std::log(1 - fraction(arrivalRng_)) / context_.day.perSecond),
+  if (context_.now() >= context_.loadEnd || context_.day.requestRate <= 0) return;
+  context_.loop.in(spanOf(-std::log(1 - fraction(arrivalRng_)) / context_.day.requestRate),
                    [this] { scheduleArrival(); });
-  Wanted wanted;
+  LoadRequest wanted;
   const double kind = fraction(arrivalRng_);
   const bool other = fraction(arrivalRng_) < 0.4;
-  if (kind < context_.day.keyed) {
+  if (kind < context_.day.keyedShare) {
     wanted.route = other ? 2 : 1;
     wanted.key = "k" + std::to_string(++keys_);
   } else {
-    wanted.route = kind < context_.day.keyed + context_.day.effectful ? 4 : other ? 3 : 0;
+    wanted.route = kind < context_.day.keyedShare + context_.day.effectfulShare ? 4 : other ? 3 : 0;
   }
-  wanted.until = context_.now() + spanOf(kRoutes[wanted.route].deadline);
+  wanted.deadline = context_.now() + spanOf(kRoutes[wanted.route].deadline);
   sendRequest(anySidecar(), wanted);
 }
 
@@ -52,25 +52,25 @@
   return found == machineOf_.end() ? -1 : context_.machines.serviceOf(found->second);
 }
 
-void ProcessClients::sendRequest(std::uint32_t machine, const Wanted& wanted) {
+void ProcessClients::sendRequest(std::uint32_t machine, const LoadRequest& wanted) {
   // The platform sends no new requests to a machine that is shutting down.
   for (std::uint32_t i = 0; excluded_.count(machine) > 0 && i < context_.day.sidecars; ++i)
     machine = context_.machines.sidecarMachine(context_.machines.numberOf(machine) + 1);
-  const RouteTold& route = kRoutes[wanted.route];
+  const RouteSpec& route = kRoutes[wanted.route];
   const std::uint64_t attempt = ++attempts_;
-  context_.judge.sent(context_.now(), attempt, route.sort, wanted.key, route.service);
-  inFlight_[attempt] = {machine, route.sort == Sort::keyed};
+  context_.judge.requestSent(context_.now(), attempt, route.kind, wanted.key, route.service);
+  inFlight_[attempt] = {machine, route.kind == RequestKind::keyed};
   machineOf_[attempt] = machine;
-  std::string text = route.sort == Sort::pure ? "GET " : "POST ";
+  std::string text = route.kind == RequestKind::pure ? "GET " : "POST ";
   text += std::string(route.prefix) + "1 HTTP/1.1\r\nHost: " + kHost +
           "\r\nRackroute-Attempt-Id: " + attemptIdHex(attempt) +
-          "\r\nRackroute-Deadline-Ms: " + std::to_string((wanted.until - context_.now()) / 1ms) + "\r\n";
+          "\r\nRackroute-Deadline-Ms: " + std::to_string((wanted.deadline - context_.now()) / 1ms) + "\r\n";
   if (!wanted.key.empty()) text += "Rackroute-Operation-Key: " + wanted.key + "\r\n";
-  text += route.sort == Sort::pure ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
+  text += route.kind == RequestKind::pure ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
   http::Gather pieces;
   pieces.text(std::move(text));
   context_.httpClient.send(context_.machines.addressOf(machine, Port::outbound), std::move(pieces), "", false,
-                           context_.startTime + wanted.until + kResponseSlack,
+                           context_.startTime + wanted.deadline + kResponseSlack,
                            [this, machine, wanted, attempt, sentAt = context_.now()](
                                RequestOutcome outcome, const std::shared_ptr<const http::Message>& response) {
                              inFlight_.erase(attempt);
@@ -85,16 +85,18 @@
                                         RequestOutcome outcome) {
   const bool lost = outcome == RequestOutcome::connectionLost && context_.now() > sentAt + kCloseRace;
   if (!lost || disturbedAt_(machine) + kDisturbanceWindow > sentAt) return;
-  context_.judge.failed(context_.now(), "LOST",
-                        "attempt " + std::to_string(attempt) + " at " + context_.machines.nameOf(machine) +
-                            ": connection closed without a response");
+  context_.judge.reportViolation(context_.now(), "LOST",
+                                 "attempt " + std::to_string(attempt) + " at " +
+                                     context_.machines.nameOf(machine) +
+                                     ": connection closed without a response");
 }
 
 // Checks that the response comes from an execution of this attempt or, for keyed requests, of its key.
-void ProcessClients::checkResponse(const Wanted& wanted, std::uint64_t attempt,
+void ProcessClients::checkResponse(const LoadRequest& wanted, std::uint64_t attempt,
                                    const http::Message& response) {
   const auto fail = [&](const std::string& what) {
-    context_.judge.failed(context_.now(), "MIXED", "attempt " + std::to_string(attempt) + ": " + what);
+    context_.judge.reportViolation(context_.now(), "MIXED",
+                                   "attempt " + std::to_string(attempt) + ": " + what);
   };
   const auto seal = integerField(response, kSealHeader, 10);
   if (response.status() != 200) {
@@ -111,12 +113,12 @@
     fail("response body differs from that of its execution");
 }
 
-void ProcessClients::handleResponse(std::uint32_t machine, const Wanted& wanted, std::uint64_t attempt,
+void ProcessClients::handleResponse(std::uint32_t machine, const LoadRequest& wanted, std::uint64_t attempt,
                                     const std::shared_ptr<const http::Message>& response) {
-  const RouteTold& route = kRoutes[wanted.route];
+  const RouteSpec& route = kRoutes[wanted.route];
   const std::uint32_t status = response ? response->status() : 0;
   const std::uint64_t seal = response ? integerField(*response, kSealHeader, 10).value_or(0) : 0;
-  if (response) context_.judge.answered(context_.now(), attempt, status, seal);
+  if (response) context_.judge.responseReceived(context_.now(), attempt, status, seal);
   if (response) checkResponse(wanted, attempt, *response);
   if (const auto* run = servers_.runOf(seal);
       status == 200 && run != nullptr && loggedRequests_ < kMaxLoggedRequests) {
@@ -126,24 +128,25 @@
   }
   if (status == 200) return maybeRepeat(wanted);
   if (status >= 400 && status < 500 && status != 409) return;
-  if (route.sort == Sort::effectful && status != 503) return;
-  Wanted next = wanted;
-  if (++next.tries > 2 || next.until - context_.now() < 100ms) return;
+  if (route.kind == RequestKind::effectful && status != 503) return;
+  LoadRequest next = wanted;
+  if (++next.tries > 2 || next.deadline - context_.now() < 100ms) return;
   double backoffSeconds = 0;
   if (const auto retryAfter = response ? response->field("Retry-After") : std::nullopt)
     std::from_chars(retryAfter->data(), retryAfter->data() + retryAfter->size(), backoffSeconds);
   const std::uint32_t to = status == 0 ? anySidecar() : machine;
-  context_.loop.in(std::min<Span>(spanOf(backoffSeconds), (next.until - context_.now()) / 3) + 5ms,
+  context_.loop.in(std::min<Span>(spanOf(backoffSeconds), (next.deadline - context_.now()) / 3) + 5ms,
                    [this, to, next] { sendRequest(to, next); });
 }
 
 // Repeats a ratio of the keyed requests after a success.
-void ProcessClients::maybeRepeat(const Wanted& wanted) {
-  const RouteTold& route = kRoutes[wanted.route];
-  if (route.sort != Sort::keyed || wanted.again || fraction(rng_) >= context_.day.again) return;
-  Wanted next = wanted;
-  next.again = true;
-  next.until = context_.now() + spanOf(route.deadline) + 1s;
+void ProcessClients::maybeRepeat(const LoadRequest& wanted) {
+  const RouteSpec& route = kRoutes[wanted.route];
+  if (route.kind != RequestKind::keyed || wanted.isRepeat || fraction(rng_) >= context_.day.repeatShare)
+    return;
+  LoadRequest next = wanted;
+  next.isRepeat = true;
+  next.deadline = context_.now() + spanOf(route.deadline) + 1s;
   context_.loop.in(spanOf(fraction(rng_)), [this, next] { sendRequest(anySidecar(), next); });
 }
 
--- a/src/lab/mesh/process_clients.hpp
+++ b/src/lab/mesh/process_clients.hpp
@@ -43,13 +43,13 @@
     std::uint32_t machine = 0;
     bool keyed = false;
   };
-  void sendRequest(std::uint32_t machine, const Wanted& wanted);
-  void handleResponse(std::uint32_t machine, const Wanted& wanted, std::uint64_t attempt,
+  void sendRequest(std::uint32_t machine, const LoadRequest& wanted);
+  void handleResponse(std::uint32_t machine, const LoadRequest& wanted, std::uint64_t attempt,
                       const std::shared_ptr<const http::Message>& response);
   void checkConnectionEnd(std::uint32_t machine, std::uint64_t attempt, Span sentAt,
                           rackroute::mesh::RequestOutcome outcome);
-  void checkResponse(const Wanted& wanted, std::uint64_t attempt, const http::Message& response);
-  void maybeRepeat(const Wanted& wanted);
+  void checkResponse(const LoadRequest& wanted, std::uint64_t attempt, const http::Message& response);
+  void maybeRepeat(const LoadRequest& wanted);
   [[nodiscard]] std::uint32_t anySidecar() {
     return context_.machines.sidecarMachine(
         static_cast<std::uint32_t>(fraction(rng_) * context_.day.sidecars));
--- a/src/lab/mesh/process_operators.cpp
+++ b/src/lab/mesh/process_operators.cpp
@@ -25,9 +25,10 @@
 }
 
 void ProcessOperators::applyInitialConfig() {
-  patch(0, table_.firstItems(context_.day.idleRoutes), [this](std::uint32_t status) {
-    if (status != 200) return context_.judge.lost(context_.now(), "the initial configuration was rejected");
-    table_.acknowledgedFirst(context_.now());
+  patch(0, table_.initialConfig(context_.day.idleRoutes), [this](std::uint32_t status) {
+    if (status != 200)
+      return context_.judge.reportLoss(context_.now(), "the initial configuration was rejected");
+    table_.initialConfigAcknowledged(context_.now());
     context_.logEvent("the initial configuration is acknowledged");
   });
 }
@@ -45,15 +46,15 @@
 
 void ProcessOperators::change(std::uint32_t who, bool race, bool bad) {
   const std::string name = kRoutes[who % kRoutes.size()].name;
-  const std::uint64_t generation = table_.next(who);
+  const std::uint64_t generation = table_.nextVersion(who);
   for (int operatorNo = 0; operatorNo < (race ? 2 : 1); ++operatorNo) {
     patch((who + static_cast<std::uint32_t>(operatorNo)) % context_.day.controls,
           table_.change(who, generation, operatorNo, bad),
           [this, name, generation, bad](std::uint32_t status) {
             if (bad && status == 200)
-              context_.judge.failed(context_.now(), "CONFIG",
-                                    "an invalid configuration change was acknowledged");
-            if (status == 200 && !bad) table_.acknowledged(context_.now(), name, generation);
+              context_.judge.reportViolation(context_.now(), "CONFIG",
+                                             "an invalid configuration change was acknowledged");
+            if (status == 200 && !bad) table_.changeAcknowledged(context_.now(), name, generation);
           });
   }
 }
@@ -62,7 +63,7 @@
   call("GET", control, "",
        [this, control, until, done](RequestOutcome, const std::shared_ptr<const http::Message>& response) {
          if (response && response->status() == 200) {
-           table_.readBack(context_.now(), json::parse(response->body()), context_.judge);
+           table_.checkReadBack(context_.now(), json::parse(response->body()), context_.judge);
            context_.logEvent("configuration read back from " + context_.machines.nameOf(control) + ": " +
                              std::to_string(response->body().size()) + " bytes");
            return done();
@@ -73,7 +74,7 @@
            });
            return;
          }
-         context_.judge.lost(context_.now(), "no response to the read-back of the configuration");
+         context_.judge.reportLoss(context_.now(), "no response to the read-back of the configuration");
          done();
        });
 }
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -81,7 +81,7 @@
 void ProcessServers::sendHeartbeat(std::uint32_t machine, std::uint64_t instanceNo) {
   Server& server = servers_.at(machine);
   if (server.instanceNo != instanceNo || !server.up) return;
-  context_.loop.in(kBeat, [this, machine, instanceNo] { sendHeartbeat(machine, instanceNo); });
+  context_.loop.in(kHeartbeatInterval, [this, machine, instanceNo] { sendHeartbeat(machine, instanceNo); });
   const json body{{"address", context_.machines.addressOf(machine, Port::server).value},
                   {"details",
                    {{"target", serviceName(context_.machines.serviceOf(machine))},
@@ -103,7 +103,8 @@
         if (current.instanceNo != instanceNo || !wasDraining || current.drainAcked >= Span{0}) return;
         if (outcome != RequestOutcome::completed || response->status() / 100 != 2) return;
         current.drainAcked = context_.now();
-        context_.loop.in(kDrain + 500ms, [this, machine, instanceNo] { deregister(machine, instanceNo); });
+        context_.loop.in(kDrainTime + 500ms,
+                         [this, machine, instanceNo] { deregister(machine, instanceNo); });
       });
 }
 
@@ -129,7 +130,7 @@
   if (!server.up) return connection->end(sidecar::Reason::cut);
   if (expected && *expected != server.id) return connection->respond(421, fieldsWithId, "");
   checkUnchanged(*attempt, request);
-  context_.judge.arrived(context_.now(), *attempt, context_.machines.serviceOf(machine));
+  context_.judge.requestArrived(context_.now(), *attempt, context_.machines.serviceOf(machine));
   const Work work{*attempt, request.field(kOperationKeyHeader).has_value(),
                   context_.now() + std::chrono::milliseconds(remaining.value_or(10'000))};
   if (server.busy < context_.day.slots) {
@@ -146,7 +147,8 @@
 
 void ProcessServers::checkUnchanged(std::uint64_t attempt, const http::Message& request) {
   const auto fail = [&](const std::string& what) {
-    context_.judge.failed(context_.now(), "UNASKED", "attempt " + std::to_string(attempt) + ": " + what);
+    context_.judge.reportViolation(context_.now(), "UNASKED",
+                                   "attempt " + std::to_string(attempt) + ": " + what);
   };
   const auto caller = request.field(kCallerServiceHeader);
   if (!caller || *caller != serviceName(callerOf_(attempt)))
@@ -158,11 +160,11 @@
 void ProcessServers::execute(std::uint32_t machine, const ConnectionRef& connection, const Work& work) {
   Server& server = servers_.at(machine);
   const std::uint64_t seal = ++seals_;
-  context_.judge.ran(context_.now(), work.attempt, context_.machines.serviceOf(machine), seal,
-                     server.drainAcked);
+  context_.judge.executionStarted(context_.now(), work.attempt, context_.machines.serviceOf(machine), seal,
+                                  server.drainAcked);
   runs_[seal] = {work.attempt, server.id + " on " + context_.machines.nameOf(machine)};
   if (work.keyed) ++server.keyed;
-  const Distribution serviceTime{Shape::lognormal, context_.day.work, 0.6};
+  const Distribution serviceTime{Shape::lognormal, context_.day.meanServiceTime, 0.6};
   const Span wait = std::chrono::duration_cast<Span>(
       std::chrono::duration<double>(serviceTime.draw(rng_) * server.slowdown));
   const Span done = context_.now() + wait;
--- a/src/lab/mesh/processes.cpp
+++ b/src/lab/mesh/processes.cpp
@@ -37,33 +37,33 @@
 double secondsOf(Span span) { return std::chrono::duration<double>(span).count(); }
 
 /// Whether a fault, such as a partition, power loss or disk fault, can't be injected into real processes.
-bool isVirtualOnly(TroubleKind kind) {
+bool isVirtualOnly(FaultKind kind) {
   switch (kind) {
-    case TroubleKind::powerControl:
-    case TroubleKind::cutSidecar:
-    case TroubleKind::cutControl:
-    case TroubleKind::cutControlOneWay:
-    case TroubleKind::diskSlow:
-    case TroubleKind::diskFull:
-    case TroubleKind::replaceControl:
-    case TroubleKind::replaceControlPlanned:
-    case TroubleKind::cutControlAsymmetric:
-    case TroubleKind::cutCoreHalves:
-    case TroubleKind::restartBeside:
-    case TroubleKind::resetControl:
-    case TroubleKind::resetSidecar:
-    case TroubleKind::diskStall:
-    case TroubleKind::clockStep:
-    case TroubleKind::killCore:
-    case TroubleKind::powerCore:
-    case TroubleKind::powerCoreAtAnswer:
-    case TroubleKind::rollSidecars:
-    case TroubleKind::answersLost:
-    case TroubleKind::storm:
-    case TroubleKind::changeMany:
-    case TroubleKind::raceMany:
-    case TroubleKind::oldChange:
-    case TroubleKind::newService:
+    case FaultKind::powerControl:
+    case FaultKind::cutSidecar:
+    case FaultKind::cutControl:
+    case FaultKind::cutControlOneWay:
+    case FaultKind::diskSlow:
+    case FaultKind::diskFull:
+    case FaultKind::replaceControl:
+    case FaultKind::replaceControlPlanned:
+    case FaultKind::cutControlAsymmetric:
+    case FaultKind::cutCoreHalves:
+    case FaultKind::restartBeside:
+    case FaultKind::resetControl:
+    case FaultKind::resetSidecar:
+    case FaultKind::diskStall:
+    case FaultKind::clockStep:
+    case FaultKind::killCore:
+    case FaultKind::powerCore:
+    case FaultKind::powerCoreAtAnswer:
+    case FaultKind::rollSidecars:
+    case FaultKind::answersLost:
+    case FaultKind::storm:
+    case FaultKind::changeMany:
+    case FaultKind::raceMany:
+    case FaultKind::oldChange:
+    case FaultKind::newService:
       return true;
     default:
       return false;
@@ -71,8 +71,8 @@
 }
 
 bool hasResetFaults(const Day& day) {
-  return std::any_of(day.troubles.begin(), day.troubles.end(),
-                     [](const Trouble& fault) { return fault.kind == TroubleKind::resetForwards; });
+  return std::any_of(day.faults.begin(), day.faults.end(),
+                     [](const Fault& fault) { return fault.kind == FaultKind::resetForwards; });
 }
 
 /// One run: owns the parts of the mesh and injects the faults.
@@ -84,7 +84,7 @@
         arrivalRng_(chanceOf(options.seed, Purpose::arrivals)),
         rng_(chanceOf(options.seed, Purpose::clients)),
         resetRng_(chanceOf(options.seed, Purpose::network)),
-        judge_({kDrain, kApply, spanOf(day.keyWindow), kRetryWindow, kRetryRatio, kRetrySlack}),
+        judge_({kDrainTime, kApplyTime, spanOf(day.keyWindow), kRetryWindow, kRetryRatio, kRetrySlack}),
         httpClient_(loop_, {300ms, 5s, Span{0}, 1 << 20, 64}),
         machines_(day_, 20 + static_cast<std::uint32_t>(::getpid()) % 200),
         context_{day_,        loop_,     judge_,
@@ -102,8 +102,8 @@
     if (options_.onEvent) options_.onEvent(line);
   }
   void begin();
-  void injectFault(const Trouble& fault);
-  void resetForwards(const Trouble& fault, std::uint32_t sidecar);
+  void injectFault(const Fault& fault);
+  void resetForwards(const Fault& fault, std::uint32_t sidecar);
   void kill(std::uint32_t machine, Span until, bool wiped);
   void terminate(std::uint32_t machine);
   void applyClosing();
@@ -145,69 +145,71 @@
 }
 
 void ProcessMesh::terminate(std::uint32_t machine) {
-  if (!day_.clientsStay) clients_.excludeMachine(machine);
+  if (!day_.keepConnections) clients_.excludeMachine(machine);
   children_.terminate(machine);
-  loop_.in(kGrace, [this, machine, process = children_.idAt(machine), signalledAt = context_.now()] {
+  loop_.in(kGracePeriod, [this, machine, process = children_.idAt(machine), signalledAt = context_.now()] {
     clients_.includeMachine(machine);
     const bool exited = children_.hasExited(machine);
     // Another fault has restarted the process in the meantime.
     if (!exited && children_.idAt(machine) != process) return;
     // A process that was frozen after the signal has not had its full grace period.
     if (!exited && children_.disturbedAt(machine) < signalledAt)
-      judge_.failed(context_.now(), "GRACE",
-                    machines_.nameOf(machine) + " still runs after its grace period");
+      judge_.reportViolation(context_.now(), "GRACE",
+                             machines_.nameOf(machine) + " still runs after its grace period");
     if (exited || children_.disturbedAt(machine) < context_.now()) children_.start(machine, false);
   });
 }
 
-void ProcessMesh::resetForwards(const Trouble& fault, std::uint32_t sidecar) {
+void ProcessMesh::resetForwards(const Fault& fault, std::uint32_t sidecar) {
   ForwardRelay& relay = *relays_.at(sidecar);
-  relay.setResetRatio(fault.part);
+  relay.setResetRatio(fault.magnitude);
   logEvent("resetting a ratio of the connections to " + machines_.nameOf(sidecar));
-  loop_.in(spanOf(fault.lasts), [&relay] { relay.setResetRatio(0); });
+  loop_.in(spanOf(fault.duration), [&relay] { relay.setResetRatio(0); });
 }
 
-void ProcessMesh::injectFault(const Trouble& fault) {
-  const std::uint32_t control = fault.who % day_.controls;
-  const std::uint32_t sidecar = machines_.sidecarMachine(fault.who);
-  const Span until = context_.now() + spanOf(fault.lasts);
-  const auto afterFault = [&](std::function<void()> task) { loop_.in(spanOf(fault.lasts), std::move(task)); };
+void ProcessMesh::injectFault(const Fault& fault) {
+  const std::uint32_t control = fault.target % day_.controls;
+  const std::uint32_t sidecar = machines_.sidecarMachine(fault.target);
+  const Span until = context_.now() + spanOf(fault.duration);
+  const auto afterFault = [&](std::function<void()> task) {
+    loop_.in(spanOf(fault.duration), std::move(task));
+  };
   switch (fault.kind) {
-    case TroubleKind::killSidecar:
+    case FaultKind::killSidecar:
       return kill(sidecar, context_.now() + kRestartDelay, false);
-    case TroubleKind::killControl:
+    case FaultKind::killControl:
       return kill(control, context_.now() + kRestartDelay, false);
-    case TroubleKind::wipeControl:
+    case FaultKind::wipeControl:
       return kill(control, until, true);
-    case TroubleKind::freezeSidecar:
+    case FaultKind::freezeSidecar:
       return children_.freeze(sidecar, until);
-    case TroubleKind::freezeControl:
+    case FaultKind::freezeControl:
       return children_.freeze(control, until);
-    case TroubleKind::termSidecar:
+    case FaultKind::termSidecar:
       return terminate(sidecar);
-    case TroubleKind::hangUp:
-      return children_.reload(fault.who % (day_.controls + day_.sidecars));
-    case TroubleKind::resetForwards:
+    case FaultKind::hangUp:
+      return children_.reload(fault.target % (day_.controls + day_.sidecars));
+    case FaultKind::resetForwards:
       return resetForwards(fault, sidecar);
-    case TroubleKind::serverLoses:
-      servers_.setResponseLoss(sidecar, fault.part);
+    case FaultKind::serverLoses:
+      servers_.setResponseLoss(sidecar, fault.magnitude);
       return afterFault([this, sidecar] { servers_.setResponseLoss(sidecar, 0); });
-    case TroubleKind::serverSpoils:
-      servers_.setResponseCorruption(sidecar, fault.part);
+    case FaultKind::serverSpoils:
+      servers_.setResponseCorruption(sidecar, fault.magnitude);
       return afterFault([this, sidecar] { servers_.setResponseCorruption(sidecar, 0); });
-    case TroubleKind::serverSlow:
-      servers_.setSlowdown(sidecar, std::max(1.0, fault.part));
+    case FaultKind::serverSlow:
+      servers_.setSlowdown(sidecar, std::max(1.0, fault.magnitude));
       return afterFault([this, sidecar] { servers_.setSlowdown(sidecar, 1); });
-    case TroubleKind::serverCrash:
+    case FaultKind::serverCrash:
       servers_.crash(sidecar);
       return afterFault([this, sidecar] { servers_.startInstance(sidecar); });
-    case TroubleKind::release:
+    case FaultKind::release:
       return servers_.drainAndRestart(sidecar);
-    case TroubleKind::change:
-    case TroubleKind::race:
-    case TroubleKind::badChange:
-      return operators_.change(fault.who, fault.kind == TroubleKind::race,
-                               fault.kind == TroubleKind::badChange);
+    case FaultKind::change:
+    case FaultKind::race:
+    case FaultKind::badChange:
+      return operators_.change(fault.target, fault.kind == FaultKind::race,
+                               fault.kind == FaultKind::badChange);
     default:
       return;  // rejected before the run
   }
@@ -237,7 +239,7 @@
   for (std::uint32_t i = 0; i < day_.sidecars; ++i) servers_.startInstance(machines_.sidecarMachine(i));
   loop_.in(500ms, [this] { operators_.applyInitialConfig(); });
   loop_.at(context_.startTime + kWarmUp, [this] { clients_.scheduleArrival(); });
-  for (const Trouble& fault : day_.troubles) {
+  for (const Fault& fault : day_.faults) {
     loop_.at(context_.startTime + kWarmUp + spanOf(fault.at), [this, fault] { injectFault(fault); });
   }
   if (day_.closing != Closing::none)
@@ -253,8 +255,8 @@
   loop_.guarded([this] { begin(); });
   loop_.run();
   ProcessRunResult result;
-  result.figures = endOfDay(judge_, operators_.table(), day_.leastServed, context_.now());
-  result.broken = judge_.broken();
+  result.figures = finishDay(judge_, operators_.table(), day_.minServedShare, context_.now());
+  result.violations = judge_.violations();
   result.late = maxLoopDelay_ > kLoopDelayLimit || Children::brokenOff();
   result.figures["kills"] = kills_;
   result.figures["keyed_at_work_when_killed"] = keyedInFlightAtKills_;
@@ -268,9 +270,9 @@
 }  // namespace
 
 Day restrictToProcesses(Day day) {
-  day.troubles.erase(std::remove_if(day.troubles.begin(), day.troubles.end(),
-                                    [](const Trouble& fault) { return isVirtualOnly(fault.kind); }),
-                     day.troubles.end());
+  day.faults.erase(std::remove_if(day.faults.begin(), day.faults.end(),
+                                  [](const Fault& fault) { return isVirtualOnly(fault.kind); }),
+                   day.faults.end());
   if (day.closing == Closing::powerAll) day.closing = Closing::killAll;
   return day;
 }
@@ -283,7 +285,7 @@
     throw BadScenario(day.name + ": controls: must be a multiple of the zones with real processes");
   if (day.closing == Closing::powerAll)
     throw BadScenario(day.name + ": closing: power_all requires virtual time");
-  for (const Trouble& fault : day.troubles) {
+  for (const Fault& fault : day.faults) {
     if (isVirtualOnly(fault.kind))
       throw BadScenario(day.name + ": trouble: " + mesh::nameOf(fault.kind) + " requires virtual time");
   }
--- a/src/lab/mesh/processes.hpp
+++ b/src/lab/mesh/processes.hpp
@@ -20,7 +20,7 @@
   std::function<void(const std::string&)> onEvent{};  // receives a line of text for each event
 };
 
-struct ProcessRunResult : Played {
+struct ProcessRunResult : DayResult {
   bool late = false;  // the machine was too slow, or the run was interrupted: there is no verdict
 };
 
--- a/tests/abandoned_requests_test.cpp
+++ b/tests/abandoned_requests_test.cpp
@@ -75,8 +75,8 @@
 TEST_CASE("simulated load in which half of the clients disconnect early: no server keeps working for them") {
   const auto day = lab::mesh::readDay(std::string(RACKROUTE_LAB_MESH) + "/clients-leave.toml");
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const lab::mesh::Played played = lab::mesh::play(day, seed);
-    for (const lab::mesh::Broken& broken : played.broken) FAIL(broken.rule + ": " + broken.what);
+    const lab::mesh::DayResult played = lab::mesh::runDay(day, seed);
+    for (const lab::mesh::Violation& broken : played.violations) FAIL(broken.rule + ": " + broken.detail);
     CHECK(played.figures.at("runs_that_clients_left").get<std::uint64_t>() > 50);
   }
 }
