--- a/src/lab/fleet/process_fleet.cpp
+++ b/src/lab/fleet/process_fleet.cpp
@@ -37,7 +37,7 @@
   ProcessFleet& operator=(const ProcessFleet&) = delete;
   Json run() {
     // Guarded, so that the loop's first poll ends with the first timer.
-    loop_.guarded([this] {
+    loop_.runGuarded([this] {
       rig_.begin(false);
       watch();
     });
@@ -83,7 +83,7 @@
     }
     if (plan_.progress) plan_.progress(std::min(1.0, seconds(rig_.now()) / seconds(drill_.length)));
     if (rig_.now() >= drill_.length || Children::brokenOff()) return loop_.stop();
-    loop_.in(kTell, [this] { watch(); });
+    loop_.after(kTell, [this] { watch(); });
   }
 
   // Processor time and memory of those that still run, from the system's own account of them.
--- a/src/lab/fleet/relay.cpp
+++ b/src/lab/fleet/relay.cpp
@@ -16,8 +16,8 @@
 
 using Poco::Net::ReadableNotification;
 using Poco::Net::SocketAddress;
+using sidecar::CloseReason;
 using sidecar::Connection;
-using sidecar::Reason;
 
 constexpr std::uint16_t kPort = 7946;
 constexpr int kATurn = 256;  // datagrams of one member
@@ -57,10 +57,10 @@
     pieces.text(std::move(bytes));
     there->send(std::move(pieces));
   }
-  void gone(Reason) override {
+  void closed(CloseReason) override {
     const auto there = other.lock();
-    if (there && !silent_) there->finish(Reason::done);
-    if (there && silent_) there->end(Reason::done);
+    if (there && !silent_) there->finish(CloseReason::done);
+    if (there && silent_) there->end(CloseReason::done);
     relay_.links_.erase(this);
   }
 
@@ -108,7 +108,7 @@
   }
   for (const auto& [descriptor, forward] : forwards_) loop_.removeEventHandler(forward->listener, readable);
   const auto links = links_;
-  for (const auto& [at, link] : links) link->end(Reason::shutdown);
+  for (const auto& [at, link] : links) link->end(CloseReason::shutdown);
 }
 
 std::string Relay::listens(std::uint32_t place, std::uint16_t port) const {
@@ -124,7 +124,7 @@
 void Relay::readable(ReadableNotification* event) {
   const int descriptor = event->socket().impl()->sockfd();
   event->release();
-  loop_.guarded([this, descriptor] {
+  loop_.runGuarded([this, descriptor] {
     const auto at = sockets_.find(descriptor);
     if (at == sockets_.end()) return;
     const auto [place, kind] = at->second;
@@ -151,7 +151,7 @@
       std::string data = bytes.substr(0, static_cast<std::size_t>(size));
       if (passage.newer) Ways::renew(data);
       if (passage.spoilt) ways_.spoil(data);
-      loop_.in(passage.delay, [this, place, from, descriptor, data = std::move(data)] {
+      loop_.after(passage.delay, [this, place, from, descriptor, data = std::move(data)] {
         got_(from, memberOf(place), data.size());
         const SocketAddress to(listens(place, kPort));
         static_cast<void>(::sendto(descriptor, data.data(), data.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/rig.cpp
@@ -15,8 +15,8 @@
 
 using namespace std::chrono_literals;
 using Poco::Net::SocketAddress;
+using sidecar::CloseReason;
 using sidecar::Connection;
-using sidecar::Reason;
 
 constexpr Span kLook = 100ms;
 constexpr Span kLag =
@@ -39,7 +39,7 @@
         member_(member),
         start_(rig.starts_[member]) {}
   void ask(const std::string& address) {
-    timer_ = loop_.in(kDoorTime, [this] { end(Reason::silent); });
+    timer_ = loop_.after(kDoorTime, [this] { end(CloseReason::silent); });
     dial(SocketAddress(address));
     http::Gather pieces;
     pieces.text("GET /ops/fleet HTTP/1.1\r\nHost: door\r\n\r\n");
@@ -52,9 +52,9 @@
     const http::Message answer = reader_.take(in_);
     if (answer.status() == 200 && start_ == rig_.starts_[member_])
       rig_.heard(member_, std::string(answer.body()));
-    end(Reason::done);
+    end(CloseReason::done);
   }
-  void gone(Reason) override {
+  void closed(CloseReason) override {
     loop_.cancel(timer_);
     rig_.doors_.erase(this);
   }
@@ -91,7 +91,7 @@
 
 Rig::~Rig() {
   const auto doors = doors_;
-  for (const auto& [at, link] : doors) link->end(Reason::shutdown);
+  for (const auto& [at, link] : doors) link->end(CloseReason::shutdown);
 }
 
 Json Rig::told(std::uint32_t place) const {
@@ -121,9 +121,9 @@
     loop_.at(zero_ + deed.at, [this, deed] { perform(deed); });
   }
   for (std::uint32_t i = 0; i < drill_.members; ++i)
-    loop_.in(drill_.askEvery * i / drill_.members, [this, i] { ask(i); });
+    loop_.after(drill_.askEvery * i / drill_.members, [this, i] { ask(i); });
   lookedAt_ = now();
-  loop_.in(kLook, [this] { look(); });
+  loop_.after(kLook, [this] { look(); });
 }
 
 void Rig::perform(const Deed& deed) {
@@ -163,7 +163,7 @@
 }
 
 void Rig::ask(std::uint32_t member) {
-  loop_.in(drill_.askEvery, [this, member] { ask(member); });
+  loop_.after(drill_.askEvery, [this, member] { ask(member); });
   if (!runs_[member] || frozen_[member]) return;
   const auto link = std::make_shared<DoorLink>(*this, member);
   doors_.emplace(link.get(), link);
@@ -198,7 +198,7 @@
   latestLook_ = std::max(latestLook_, now() - lookedAt_ - kLook);
   lookedAt_ = now();
   judge_.look(now());
-  if (now() < drill_.length) loop_.in(kLook, [this] { look(); });
+  if (now() < drill_.length) loop_.after(kLook, [this] { look(); });
 }
 
 Json Rig::finish() {
--- a/src/lab/mesh/forward_relay.cpp
+++ b/src/lab/mesh/forward_relay.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using sidecar::Reason;
+using sidecar::CloseReason;
 
 constexpr Span kLatest = 1500ms;    // by which a request comes late; within its client's time, and beyond
 constexpr Span kBothAfter = 200ms;  // at the longest, from a request until both ends are reset
@@ -27,11 +27,11 @@
     pieces.text(std::move(bytes));
     send(std::move(pieces));
   }
-  void cut() { endCut(Reason::cut); }
+  void cut() { endWithReset(CloseReason::cut); }
 
  protected:
   void received() override { read(std::exchange(in_, {})); }
-  void gone(Reason) override {
+  void closed(CloseReason) override {
     if (over) over();
   }
 };
@@ -99,24 +99,24 @@
   }
 
   void callerOver() {
-    if (!staysOpen_) sidecar_->end(Reason::peerClosed);
+    if (!staysOpen_) sidecar_->end(CloseReason::peerClosed);
     forget();
   }
 
   void sidecarOver() {
-    caller_->finish(Reason::peerClosed);
+    caller_->finish(CloseReason::peerClosed);
     forget();
   }
 
   void in(Span most, std::function<void()> task) {
     const Span wait = std::chrono::duration_cast<Span>(most * fraction(relay_.chance_));
-    relay_.loop_.in(wait, [self = shared_from_this(), task = std::move(task)] { task(); });
+    relay_.loop_.after(wait, [self = shared_from_this(), task = std::move(task)] { task(); });
   }
 
   // Once both have ended; after the turn, as this is called from within theirs.
   void forget() {
     if (!caller_->ended() || !sidecar_->ended()) return;
-    relay_.loop_.bury(shared_from_this());
+    relay_.loop_.deferDestruction(shared_from_this());
     relay_.pairs_.erase(shared_from_this());
   }
 
--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -26,7 +26,8 @@
 
 void ProcessClients::arrive() {
   if (context_.now() >= context_.end || context_.day.perSecond <= 0) return;
-  context_.loop.in(spanOf(-std::log(1 - fraction(arrivals_)) / context_.day.perSecond), [this] { arrive(); });
+  context_.loop.after(spanOf(-std::log(1 - fraction(arrivals_)) / context_.day.perSecond),
+                      [this] { arrive(); });
   Wanted wanted;
   const double kind = fraction(arrivals_);
   const bool other = fraction(arrivals_) < 0.4;
@@ -126,8 +127,8 @@
   if (const auto told = answer ? answer->field("Retry-After") : std::nullopt)
     std::from_chars(told->data(), told->data() + told->size(), comeBack);
   const std::uint32_t to = status == 0 ? anySidecar() : machine;
-  context_.loop.in(std::min<Span>(spanOf(comeBack), (next.until - context_.now()) / 3) + 5ms,
-                   [this, to, next] { ask(to, next); });
+  context_.loop.after(std::min<Span>(spanOf(comeBack), (next.until - context_.now()) / 3) + 5ms,
+                      [this, to, next] { ask(to, next); });
 }
 
 // Some keyed ones come once more after a good answer.
@@ -137,7 +138,7 @@
   Wanted next = wanted;
   next.again = true;
   next.until = context_.now() + spanOf(route.deadline) + 1s;
-  context_.loop.in(spanOf(fraction(chance_)), [this, next] { ask(anySidecar(), next); });
+  context_.loop.after(spanOf(fraction(chance_)), [this, next] { ask(anySidecar(), next); });
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/process_operators.cpp
+++ b/src/lab/mesh/process_operators.cpp
@@ -37,7 +37,7 @@
   call("PATCH", control, body,
        [this, control, body, done](RequestOutcome, const std::shared_ptr<const http::Message>& answer) {
          if (answer && answer->status() < 500) return done(answer->status());
-         context_.loop.in(kPause, [this, control, body, done] {
+         context_.loop.after(kPause, [this, control, body, done] {
            patch((control + 1) % context_.day.controls, body, done);
          });
        });
@@ -67,7 +67,7 @@
            return done();
          }
          if (context_.now() < until) {
-           context_.loop.in(kPause, [this, control, until, done] {
+           context_.loop.after(kPause, [this, control, until, done] {
              readBack((control + 1) % context_.day.controls, until, done);
            });
            return;
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -23,7 +23,7 @@
   http::Gather pieces;
   pieces.text("HTTP/1.1 200 OK\r\n" + fields + "Connection: close\r\n\r\n" + body);
   connection->send(std::move(pieces));
-  connection->finish(sidecar::Reason::done);
+  connection->finish(sidecar::CloseReason::done);
 }
 
 http::Gather callOf(const std::string& method, const std::string& path, const std::string& body) {
@@ -68,7 +68,7 @@
   Server& server = servers_.at(machine);
   ++server.lives;
   server.up = false;
-  for (const auto& entry : std::map(server.shared->connections)) entry.second->end(sidecar::Reason::cut);
+  for (const auto& entry : std::map(server.shared->connections)) entry.second->end(sidecar::CloseReason::cut);
 }
 
 const ProcessServers::Run* ProcessServers::runOf(std::uint64_t seal) const {
@@ -79,7 +79,7 @@
 void ProcessServers::beat(std::uint32_t machine, std::uint64_t life) {
   Server& server = servers_.at(machine);
   if (server.lives != life || !server.up) return;
-  context_.loop.in(kBeat, [this, machine, life] { beat(machine, life); });
+  context_.loop.after(kBeat, [this, machine, life] { beat(machine, life); });
   const json body{{"address", context_.machines.at(machine, Port::server).value},
                   {"details",
                    {{"target", serviceName(context_.machines.serviceOf(machine))},
@@ -99,7 +99,7 @@
         if (then.lives != life || !drains || then.drainAcked >= Span{0}) return;
         if (how != RequestOutcome::completed || answer->status() / 100 != 2) return;
         then.drainAcked = context_.now();
-        context_.loop.in(kDrain + 500ms, [this, machine, life] { signOff(machine, life); });
+        context_.loop.after(kDrain + 500ms, [this, machine, life] { signOff(machine, life); });
       });
 }
 
@@ -122,7 +122,7 @@
   if (!attempt) return connection->respond(400, fields, "");
   const std::string named = fields + "Rackroute-Attempt-Id: " + attemptText(*attempt) + "\r\n";
   const auto expects = request.field(kExpectInstanceHeader);
-  if (!server.up) return connection->end(sidecar::Reason::cut);
+  if (!server.up) return connection->end(sidecar::CloseReason::cut);
   if (expects && *expects != server.id) return connection->respond(421, named, "");
   checkUnchanged(*attempt, request);
   context_.judge.arrived(context_.now(), *attempt, context_.machines.serviceOf(machine));
@@ -184,7 +184,7 @@
   }
   const std::string named = "Rackroute-Attempt-Id: " + attemptText(asked.attempt) + "\r\n";
   if (!inTime) return connection->respond(504, named, "");
-  if (luck < server.loses) return connection->end(sidecar::Reason::cut);
+  if (luck < server.loses) return connection->end(sidecar::CloseReason::cut);
   const bool spoilt = luck < server.loses + server.spoils;
   if (spoilt && luck < server.loses + server.spoils / 2)
     return connection->respond(200, "Rackroute-Attempt-Id: 0\r\nConnection: close\r\n", "other");
--- a/src/lab/mesh/processes.cpp
+++ b/src/lab/mesh/processes.cpp
@@ -133,7 +133,7 @@
   lookedAt_ = context_.now();
   children_.look();
   if (Children::brokenOff()) return loop_.stop();
-  loop_.in(kLook, [this] { look(); });
+  loop_.after(kLook, [this] { look(); });
 }
 
 void ProcessMesh::kill(std::uint32_t machine, Span until, bool wiped) {
@@ -147,7 +147,7 @@
 void ProcessMesh::term(std::uint32_t machine) {
   if (!day_.clientsStay) clients_.avoid(machine);
   children_.term(machine);
-  loop_.in(kGrace, [this, machine, process = children_.idAt(machine), told = context_.now()] {
+  loop_.after(kGrace, [this, machine, process = children_.idAt(machine), told = context_.now()] {
     clients_.use(machine);
     const bool gone = children_.gone(machine);
     // Another trouble has started another process meanwhile.
@@ -163,14 +163,14 @@
   ForwardRelay& relay = *relays_.at(sidecar);
   relay.reset(trouble.part);
   tell("resets a part of the forwards to " + machines_.nameOf(sidecar));
-  loop_.in(spanOf(trouble.lasts), [&relay] { relay.reset(0); });
+  loop_.after(spanOf(trouble.lasts), [&relay] { relay.reset(0); });
 }
 
 void ProcessMesh::strike(const Trouble& trouble) {
   const std::uint32_t control = trouble.who % day_.controls;
   const std::uint32_t sidecar = machines_.sidecar(trouble.who);
   const Span until = context_.now() + spanOf(trouble.lasts);
-  const auto later = [&](std::function<void()> task) { loop_.in(spanOf(trouble.lasts), std::move(task)); };
+  const auto later = [&](std::function<void()> task) { loop_.after(spanOf(trouble.lasts), std::move(task)); };
   switch (trouble.kind) {
     case TroubleKind::killSidecar:
       return kill(sidecar, context_.now() + kDead, false);
@@ -232,7 +232,7 @@
   }
   for (std::uint32_t i = 0; i < day_.controls + day_.sidecars; ++i) children_.start(i, true);
   for (std::uint32_t i = 0; i < day_.sidecars; ++i) servers_.begin(machines_.sidecar(i));
-  loop_.in(500ms, [this] { operators_.begin(); });
+  loop_.after(500ms, [this] { operators_.begin(); });
   loop_.at(context_.zero + kLead, [this] { clients_.arrive(); });
   for (const Trouble& trouble : day_.troubles) {
     loop_.at(context_.zero + kLead + spanOf(trouble.at), [this, trouble] { strike(trouble); });
@@ -246,7 +246,7 @@
 PlayedProcesses ProcessMesh::run() {
   context_.zero = loop_.now();
   context_.end = kLead + spanOf(day_.seconds);
-  loop_.guarded([this] { begin(); });
+  loop_.runGuarded([this] { begin(); });
   loop_.run();
   PlayedProcesses played;
   played.figures = endOfDay(judge_, operators_.table(), day_.leastServed, context_.now());
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -40,9 +40,9 @@
 using Poco::Net::ServerSocket;
 using Poco::Net::SocketAddress;
 using Poco::Net::StreamSocket;
+using sidecar::CloseReason;
 using sidecar::Connection;
 using sidecar::Loop;
-using sidecar::Reason;
 
 constexpr std::uint32_t kMostProcesses = 32;  // a few for each core
 constexpr Span kLag = 50ms;              // more for each time limit; the platform's own figure on sockets
@@ -87,7 +87,7 @@
   using Readable = Poco::Observer<Listener, ReadableNotification>;
   void ready(ReadableNotification* event) {
     event->release();
-    loop_.guarded([this] {
+    loop_.runGuarded([this] {
       try {
         accept_(socket_.acceptConnection());
       } catch (const Poco::Exception&) {
@@ -115,7 +115,7 @@
   std::optional<std::uint64_t> job_;  // what it waits for
  private:
   void received() override;
-  void gone(Reason reason) override;
+  void closed(CloseReason reason) override;
   void idle();
   Stage& stage_;
   std::size_t server_;
@@ -141,7 +141,7 @@
 
  private:
   void received() override;
-  void gone(Reason reason) override;
+  void closed(CloseReason reason) override;
   Stage& stage_;
   std::uint32_t balancer_;
   http::Reader reader_{http::Reader::Kind::answer, kLongestAnswer};
@@ -156,7 +156,7 @@
 
  private:
   void received() override;
-  void gone(Reason reason) override;
+  void closed(CloseReason reason) override;
   void beat();
   Stage& stage_;
   std::uint32_t balancer_;
@@ -221,7 +221,7 @@
   [[nodiscard]] Span idleTime() const { return scenario_.connectionIdle; }
 
  private:
-  void in(Span wait, Loop::Task task) { loop_.in(wait, std::move(task)); }
+  void in(Span wait, Loop::Task task) { loop_.after(wait, std::move(task)); }
   void launch(std::uint32_t balancer);
   void startProcess(std::uint32_t balancer);
   void startAnew(std::uint32_t balancer);
@@ -300,11 +300,11 @@
 
 void ServerLink::idle() {
   loop_.cancel(idle_);
-  idle_ = loop_.in(stage_.idleTime(), [this] { end(Reason::idle); });
+  idle_ = loop_.after(stage_.idleTime(), [this] { end(CloseReason::idle); });
 }
 
 void ServerLink::received() {
-  if (job_) return end(Reason::badMessage);
+  if (job_) return end(CloseReason::badMessage);
   if (reader_.read(in_) == Progress::more) return;
   loop_.cancel(idle_);
   stage_.executionCame(*this, reader_.take(in_));
@@ -316,11 +316,11 @@
   http::Gather pieces;
   pieces.text(bytes);
   send(std::move(pieces));
-  if (thenEnd) return finish(Reason::done);
+  if (thenEnd) return finish(CloseReason::done);
   idle();
 }
 
-void ServerLink::gone(Reason) {
+void ServerLink::closed(CloseReason) {
   loop_.cancel(idle_);
   stage_.executionGone(*this);
   stage_.serverLinkGone(*this);
@@ -331,7 +331,7 @@
   stage_.answerCame(balancer_, *this, reader_.take(in_));
 }
 
-void ClientLink::gone(Reason) { stage_.clientLost(balancer_, *this); }
+void ClientLink::closed(CloseReason) { stage_.clientLost(balancer_, *this); }
 
 void DiscoveryLink::received() {
   if (watches_ || reader_.read(in_) != Progress::done) return;
@@ -350,10 +350,10 @@
 
 void DiscoveryLink::beat() {
   loop_.cancel(beat_);
-  beat_ = loop_.in(kBeat, [this] { tell(""); });
+  beat_ = loop_.after(kBeat, [this] { tell(""); });
 }
 
-void DiscoveryLink::gone(Reason) {
+void DiscoveryLink::closed(CloseReason) {
   loop_.cancel(beat_);
   stage_.discoveryGone(balancer_, *this);
 }
@@ -502,7 +502,7 @@
   node.waiting.clear();
   node.idle.clear();
   const auto clients = node.clients;
-  for (const auto& [at, link] : clients) link->end(Reason::done);
+  for (const auto& [at, link] : clients) link->end(CloseReason::done);
   if (number != SIGKILL) return;
   int status = 0;
   ::waitpid(node.process->id(), &status, 0);
@@ -532,7 +532,7 @@
 }
 
 Result Stage::run() {
-  loop_.in(kComesUp, [this] {
+  loop_.after(kComesUp, [this] {
     if (!begun_) loop_.stop();
   });
   loop_.run();
@@ -663,7 +663,7 @@
   audit_.clientLeft(now(), query);
   if (const auto link = at->second.link.lock()) {
     link->query_.reset();
-    link->end(Reason::done);
+    link->end(CloseReason::done);
   }
   if (leaves) return settle(query, Fate::left);
   goOn(query, afterSilence(scenario_, at->second.ask, at->second.tries, now()));
@@ -676,7 +676,7 @@
   if (message.keepsOpen())
     node.idle.push_back(node.clients.at(&link));
   else
-    link.end(Reason::closeAsked);
+    link.end(CloseReason::closeAsked);
   if (!query) {  // it was /up
     node.up = true;
     node.looking = false;
@@ -726,7 +726,7 @@
   const auto kept = node.clients.find(&link);
   if (kept != node.clients.end()) {
     std::erase(node.idle, kept->second);
-    loop_.bury(kept->second);
+    loop_.deferDestruction(kept->second);
     node.clients.erase(kept);
   }
   in(Span{}, [this, balancer] { serveWaiting(balancer); });
@@ -879,8 +879,8 @@
   std::vector<std::shared_ptr<ServerLink>> links;
   for (const auto& [at, link] : here.links) links.push_back(link);
   for (const auto& link : links) {
-    loop_.bury(link);
-    link->end(Reason::shutdown);
+    loop_.deferDestruction(link);
+    link->end(CloseReason::shutdown);
   }
 }
 
@@ -897,7 +897,7 @@
   audit_.doubtful(now(), balancer, now() + scenario_.drainGrace);
   std::vector<std::shared_ptr<DiscoveryLink>> calls;
   for (const auto& [at, link] : nodes_[balancer].calls) calls.push_back(link);
-  for (const auto& link : calls) link->end(Reason::shutdown);
+  for (const auto& link : calls) link->end(CloseReason::shutdown);
 }
 
 void Stage::tellWhole(std::uint32_t balancer) {
@@ -968,13 +968,13 @@
     if (fails || registry_.isOut()) {
       pieces.text(answerBytes("503 Service Unavailable\r\nConnection: close\r\n", ""));
       kept->send(std::move(pieces));
-      return kept->finish(Reason::done);
+      return kept->finish(CloseReason::done);
     }
     if (!watch) {
       static_cast<void>(registry_.changesFor(balancer));
       pieces.text(answerBytes("200 OK\r\nConnection: close\r\n", list(balancer, true, registry_.whole())));
       kept->send(std::move(pieces));
-      return kept->finish(Reason::done);
+      return kept->finish(CloseReason::done);
     }
     pieces.text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     kept->send(std::move(pieces));
@@ -989,7 +989,7 @@
   Node& node = nodes_[balancer];
   const auto kept = node.calls.find(&link);
   if (kept == node.calls.end()) return;
-  loop_.bury(kept->second);
+  loop_.deferDestruction(kept->second);
   node.calls.erase(kept);
 }
 
--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -63,7 +63,7 @@
     signals_.on(SIGINT, [this] { stop(); });
     signals_.on(SIGHUP, [this] { reloadSeeds(); });
     reloadSeeds();  // covers changes made before the handler was installed
-    loop_.guarded([this] {
+    loop_.runGuarded([this] {
       perform(node_->start(loop_.now()));
       tick();
     });
@@ -180,7 +180,7 @@
             const bool refused = !action.body.empty();
             log(refused ? LogLevel::warning : LogLevel::info, "session", session->name(),
                 refused ? action.body : "session closed");
-            session->end(sidecar::Reason::silent);
+            session->end(sidecar::CloseReason::silent);
           }
           break;
         case ControlAction::Kind::write:
@@ -227,7 +227,7 @@
   void tick() {
     perform(node_->tick(loop_.now()));
     logStatus();
-    loop_.in(ControlNode::tickInterval(), [this] { tick(); });
+    loop_.after(ControlNode::tickInterval(), [this] { tick(); });
   }
 
   void reloadSeeds() {
@@ -241,7 +241,7 @@
 
   void stop() {
     if (shared_) shared_->draining = true;
-    loop_.in(kShutdownGrace, [this] { loop_.stop(); });
+    loop_.after(kShutdownGrace, [this] { loop_.stop(); });
   }
 
   EventLoop loop_;
--- a/src/mesh/sidecar/control_sessions.cpp
+++ b/src/mesh/sidecar/control_sessions.cpp
@@ -21,11 +21,11 @@
       break;
     case ControlClientAction::Kind::disconnect:
       if (sessions_.count(action.at) > 0) log(LogLevel::info, "session", action.at.value, "silent");
-      close(action.at, sidecar::Reason::silent);
+      close(action.at, sidecar::CloseReason::silent);
       break;
     case ControlClientAction::Kind::protocolError:
       log(LogLevel::warning, action.error.step, action.error.peer, action.error.what);
-      close(action.at, sidecar::Reason::badMessage);
+      close(action.at, sidecar::CloseReason::badMessage);
       break;
     case ControlClientAction::Kind::dial:
       if (sessions_.count(action.at) == 0) dial(action.at);
@@ -35,7 +35,7 @@
   }
 }
 
-void ControlSessions::close(const Address& at, sidecar::Reason reason) {
+void ControlSessions::close(const Address& at, sidecar::CloseReason reason) {
   const auto found = sessions_.find(at);
   if (found == sessions_.end()) return;
   const auto session = found->second;
--- a/src/mesh/sidecar/control_sessions.hpp
+++ b/src/mesh/sidecar/control_sessions.hpp
@@ -33,7 +33,7 @@
 
  private:
   void dial(const Address& at);
-  void close(const Address& at, sidecar::Reason reason);
+  void close(const Address& at, sidecar::CloseReason reason);
 
   sidecar::Loop& loop_;
   Callbacks callbacks_;
--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -92,7 +92,7 @@
     signals_.on(SIGINT, [this] { stop(); });
     signals_.on(SIGHUP, [this] { reloadSettings(); });
     reloadSettings();  // picks up changes made before the handler was installed
-    loop_.guarded([this] { tick(); });
+    loop_.runGuarded([this] { tick(); });
     log(LogLevel::info, "start", "", "listening", {{"life", sidecar_.admission().life().value}});
     logForwardCounts();
     loop_.run();
@@ -152,7 +152,7 @@
     for (auto& [call, open] : calls_) {
       if (open.connection.get() != &connection) continue;
       open.connection.reset();  // a request that continues has no receiver for its response
-      loop_.soon([this, call = call] { abandonRequest(call); });
+      loop_.post([this, call = call] { abandonRequest(call); });
     }
   }
 
@@ -166,7 +166,7 @@
   void forwardDisconnected(const HttpServerConnection& connection) {
     for (const auto& [id, open] : inbound_) {
       if (open.connection.get() != &connection) continue;
-      loop_.soon([this, id = id] { execute(sidecar_.forwardAbandoned(loop_.now(), id)); });
+      loop_.post([this, id = id] { execute(sidecar_.forwardAbandoned(loop_.now(), id)); });
     }
   }
 
@@ -241,7 +241,7 @@
     const nlohmann::json sent = sentCounts_.take();
     if (!received.is_null() || !sent.is_null())
       log(LogLevel::info, "forwards", "", "counted", {{"received", received}, {"sent", sent}});
-    loop_.in(kCountsInterval, [this] { logForwardCounts(); });
+    loop_.after(kCountsInterval, [this] { logForwardCounts(); });
   }
 
   void execute(RoutingAction& action) {
--- a/src/mesh/transport/event_loop.hpp
+++ b/src/mesh/transport/event_loop.hpp
@@ -38,7 +38,7 @@
       const std::lock_guard guard(mutex_);
       tasks.swap(posted_);
     }
-    for (const Task& task : tasks) guarded(task);
+    for (const Task& task : tasks) runGuarded(task);
   }
 
   std::mutex mutex_;
--- a/src/mesh/transport/http_client.cpp
+++ b/src/mesh/transport/http_client.cpp
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 using http::Progress;
-using sidecar::Reason;
+using sidecar::CloseReason;
 
 constexpr Span kKeepAliveMargin = 700ms;  // before the idle timeout that a peer announced
 constexpr int kKeepAliveSeconds = 1;      // idle time before, and interval between, TCP keepalive probes
@@ -46,7 +46,7 @@
     sendBy_ = sendBy;
     timer_ = loop_.at(std::min(loop_.now() + httpClient_.options_.dialTimeout, sendBy), [this] {
       timer_ = {};
-      end(Reason::dialTimeout);
+      end(CloseReason::dialTimeout);
     });
     dial(Poco::Net::SocketAddress(to_.value));
   }
@@ -68,15 +68,15 @@
   }
   void startIdle(Span idle) {
     loop_.cancel(timer_);
-    timer_ = loop_.in(idle, [this] {
+    timer_ = loop_.after(idle, [this] {
       timer_ = {};
-      end(Reason::idle);
+      end(CloseReason::idle);
     });
   }
   void cancel(std::uint64_t number) {
     if (number != number_ || !done_ || ended()) return;
     done_ = nullptr;
-    end(Reason::cancelled);
+    end(CloseReason::cancelled);
   }
   [[nodiscard]] const Address& to() const { return to_; }
   [[nodiscard]] Span idle() const { return idle_; }
@@ -84,7 +84,7 @@
  protected:
   void opened() override {
     // If this turn is late, the request must not be sent after `sendBy`.
-    if (loop_.now() >= sendBy_) return end(Reason::dialTimeout);
+    if (loop_.now() >= sendBy_) return end(CloseReason::dialTimeout);
     connected_ = true;
     loop_.cancel(timer_);
     if (httpClient_.options_.userTimeout > Span{0}) {
@@ -99,7 +99,7 @@
     if (done_) startDeadlineTimer();
   }
   void received() override {
-    if (!done_) return end(Reason::unreadAnswer);  // no request is pending
+    if (!done_) return end(CloseReason::unreadAnswer);  // no request is pending
     for (;;) {
       const Progress progress = readResponse();
       if (progress == Progress::more) return;
@@ -123,13 +123,13 @@
       complete(RequestOutcome::completed, std::move(response));
       if (reusable_)
         return httpClient_.release(std::static_pointer_cast<ClientConnection>(shared_from_this()));
-      return end(Reason::closeAsked);
+      return end(CloseReason::closeAsked);
     }
   }
-  void gone(Reason reason) override {
+  void closed(CloseReason reason) override {
     loop_.cancel(timer_);
     // A response without a length ends when the peer closes the connection, but not with a reset.
-    const bool untilClose = reason == Reason::peerClosed && head_ && body_.untilClose();
+    const bool untilClose = reason == CloseReason::peerClosed && head_ && body_.untilClose();
     if (done_ && untilClose && matchesAttempt(*head_)) complete(RequestOutcome::completed, takeResponse());
     if (done_) complete(outcome(reason), nullptr);
     httpClient_.remove(this);
@@ -165,25 +165,26 @@
     return attempt_.empty() || response.field(kAttemptIdHeader) == std::string_view(attempt_);
   }
   void failMalformed() {
-    why_ = "answer";
+    detail_ = "answer";
     malformed_ = true;
-    end(Reason::badMessage);
+    end(CloseReason::badMessage);
   }
-  [[nodiscard]] RequestOutcome outcome(Reason reason) const {
+  [[nodiscard]] RequestOutcome outcome(CloseReason reason) const {
     if (malformed_) return RequestOutcome::malformedResponse;
     if (!connected_ || bytesWritten() == writtenBefore_) return RequestOutcome::notSent;
     if (!allWritten()) return RequestOutcome::partiallySent;
-    return reason == Reason::executionTimeout ? RequestOutcome::timedOut : RequestOutcome::connectionLost;
+    return reason == CloseReason::executionTimeout ? RequestOutcome::timedOut
+                                                   : RequestOutcome::connectionLost;
   }
   void startDeadlineTimer() {
     loop_.cancel(timer_);
     timer_ = loop_.at(std::max(deadline_, loop_.now()), [this] {
       timer_ = {};
-      end(Reason::executionTimeout);
+      end(CloseReason::executionTimeout);
     });
   }
   void complete(RequestOutcome result, std::shared_ptr<const http::Message> response) {
-    loop_.soon([done = std::exchange(done_, nullptr), result, response = std::move(response)] {
+    loop_.post([done = std::exchange(done_, nullptr), result, response = std::move(response)] {
       done(result, response);
     });
   }
@@ -227,7 +228,7 @@
     if (connection->ended()) continue;
     busy_[connection.get()] = connection;
     if (connection->stale()) {
-      connection->end(Reason::idle);
+      connection->end(CloseReason::idle);
       continue;
     }
     connection->request(number, std::move(request), std::move(attempt), isHead, deadline, std::move(done));
@@ -243,7 +244,7 @@
 
 void HttpClient::release(const std::shared_ptr<ClientConnection>& connection) {
   auto& idle = idle_[connection->to()];
-  if (idle.size() >= options_.maxIdlePerAddress) return connection->end(Reason::crowded);
+  if (idle.size() >= options_.maxIdlePerAddress) return connection->end(CloseReason::crowded);
   busy_.erase(connection.get());
   idle.push_back(connection);
   connection->startIdle(connection->idle());
--- a/src/mesh/transport/http_server_connection.cpp
+++ b/src/mesh/transport/http_server_connection.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using http::Progress;
-using sidecar::Reason;
+using sidecar::CloseReason;
 
 constexpr std::size_t kMaxReadAhead = 64 * 1024;  // bytes read ahead while a request is being handled
 
@@ -60,10 +60,10 @@
   Span wait = context_->idleTimeout;
   const bool receiving = reader_.begun(in_);
   if (receiving) wait = headerSeen_ ? context_->bodyTimeout : context_->headerTimeout;
-  timer_ = loop_.in(wait, [this, receiving] {
+  timer_ = loop_.after(wait, [this, receiving] {
     timer_ = {};
     if (receiving) return reject(408);
-    finish(Reason::idle);
+    finish(CloseReason::idle);
   });
 }
 
@@ -107,7 +107,7 @@
               "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   in_.clear();
   send(std::move(pieces));
-  finish(Reason::badMessage);
+  finish(CloseReason::badMessage);
 }
 
 bool HttpServerConnection::closesAfterResponse() const {
@@ -118,13 +118,13 @@
   request_.reset();
   send(std::move(pieces));
   if (ended()) return;
-  if (close) return finish(Reason::done);
+  if (close) return finish(CloseReason::done);
   startTimer();
   pauseReading(false);
   // The next request may have been received already. Handled in another turn, because this is often called
   // from received().
   if (!in_.empty()) {
-    loop_.soon([self = std::static_pointer_cast<HttpServerConnection>(shared_from_this())] {
+    loop_.post([self = std::static_pointer_cast<HttpServerConnection>(shared_from_this())] {
       if (!self->ended() && !self->finishing() && !self->request_) self->received();
     });
   }
@@ -171,7 +171,7 @@
   sendResponse(std::move(pieces), close);
 }
 
-void HttpServerConnection::gone(Reason) {
+void HttpServerConnection::closed(CloseReason) {
   loop_.cancel(timer_);
   if (request_) context_->onAbandoned(*this);
   context_->connections.erase(this);
--- a/src/mesh/transport/http_server_connection.hpp
+++ b/src/mesh/transport/http_server_connection.hpp
@@ -42,7 +42,7 @@
 
  protected:
   void received() override;
-  void gone(sidecar::Reason reason) override;
+  void closed(sidecar::CloseReason reason) override;
 
  private:
   void reject(std::uint32_t status);
--- a/src/mesh/transport/listener.cpp
+++ b/src/mesh/transport/listener.cpp
@@ -43,7 +43,7 @@
 
 void Listener::accept(Poco::Net::ReadableNotification* event) {
   event->release();
-  loop_.guarded([this] {
+  loop_.runGuarded([this] {
     for (int i = 0; i < kMaxAcceptsPerTurn && open_; ++i) {
       sockaddr_storage from{};
       socklen_t size = sizeof(from);
@@ -54,7 +54,7 @@
         // Pauses accepting, as the pending connection would keep the socket readable and the loop spinning.
         const Poco::Observer<Listener, Poco::Net::ReadableNotification> readable(*this, &Listener::accept);
         loop_.removeEventHandler(socket_, readable);
-        loop_.in(kAcceptPause, [this, readable] {
+        loop_.after(kAcceptPause, [this, readable] {
           if (open_) loop_.addEventHandler(socket_, readable);
         });
         log(LogLevel::warning, "accept", "", "out of file descriptors; accepting is paused");
--- a/src/mesh/transport/session_connection.cpp
+++ b/src/mesh/transport/session_connection.cpp
@@ -15,7 +15,7 @@
 namespace rackroute::mesh {
 namespace {
 
-using sidecar::Reason;
+using sidecar::CloseReason;
 
 constexpr std::size_t kMaxMessage = 16 << 20;                 // bytes
 constexpr std::size_t kMaxBacklog = 24 << 20;                 // bytes waiting to be sent to a peer
@@ -34,9 +34,9 @@
 
 void SessionConnection::connect(const Address& address, Span timeout, Callbacks callbacks) {
   callbacks_ = std::move(callbacks);
-  dialTimer_ = loop_.in(timeout, [this] {
+  dialTimer_ = loop_.after(timeout, [this] {
     dialTimer_ = {};
-    end(Reason::dialTimeout);
+    end(CloseReason::dialTimeout);
   });
   dial(Poco::Net::SocketAddress(address.value));
 }
@@ -50,7 +50,7 @@
 void SessionConnection::sendMessage(std::shared_ptr<const std::string> text) {
   if (ended()) return;
   // Bounds the memory for a peer that does not read.
-  if (backlog() > kMaxBacklog) return end(Reason::stalled);
+  if (unsentBytes() > kMaxBacklog) return end(CloseReason::stalled);
   http::Gather pieces;
   if (shouldCompress(*text)) {
     if (auto compressed = compressor_.compress(text)) {
@@ -71,14 +71,14 @@
   const nlohmann::json message = nlohmann::json::parse(text, nullptr, false);
   if (message.is_discarded() || !message.is_object()) {
     log(LogLevel::warning, "session", name_, "received a message that is not a JSON object");
-    end(Reason::badMessage);
+    end(CloseReason::badMessage);
     return false;
   }
   try {
     callbacks_.onMessage(message);
   } catch (const nlohmann::json::exception& error) {
     log(LogLevel::warning, "session", name_, error.what());
-    end(Reason::badMessage);
+    end(CloseReason::badMessage);
   }
   return !ended();
 }
@@ -114,7 +114,7 @@
       const ReadResult result = readCompressed(from, line);
       if (result == ReadResult::malformed) {
         log(LogLevel::warning, "session", name_, "received a malformed compressed message");
-        return end(Reason::badMessage);
+        return end(CloseReason::badMessage);
       }
       if (ended()) return;
       if (result == ReadResult::incomplete) {
@@ -130,7 +130,7 @@
     // Yields between the parts of a large configuration, so that other events are not delayed on a slow
     // machine.
     if (isCompressed && from < in_.size()) {
-      loop_.in(kMessagePause, [self = std::static_pointer_cast<SessionConnection>(shared_from_this())] {
+      loop_.after(kMessagePause, [self = std::static_pointer_cast<SessionConnection>(shared_from_this())] {
         if (!self->ended()) self->received();
       });
       break;
@@ -139,10 +139,10 @@
   in_.erase(0, from);
   scanned_ -= std::min(scanned_, from);
   if (from == 0 && callbacks_.onPartial) callbacks_.onPartial();
-  if (in_.size() > kMaxMessage) end(Reason::badMessage);
+  if (in_.size() > kMaxMessage) end(CloseReason::badMessage);
 }
 
-void SessionConnection::gone(Reason) {
+void SessionConnection::closed(CloseReason) {
   loop_.cancel(dialTimer_);
   if (const auto onClosed = std::exchange(callbacks_.onClosed, nullptr)) onClosed();
 }
--- a/src/mesh/transport/session_connection.hpp
+++ b/src/mesh/transport/session_connection.hpp
@@ -38,7 +38,7 @@
  protected:
   void opened() override;
   void received() override;
-  void gone(sidecar::Reason reason) override;
+  void closed(sidecar::CloseReason reason) override;
 
  private:
   /// Parses and delivers one message; returns false if the session has ended.
--- a/src/sidecar/connection.cpp
+++ b/src/sidecar/connection.cpp
@@ -20,9 +20,9 @@
 using Poco::Net::WritableNotification;
 using Readable = Poco::Observer<Connection, ReadableNotification>;
 
-constexpr std::size_t kMostPieces = 64;  // pieces a write; a head and a body need about five
+constexpr std::size_t kMaxPiecesPerWrite = 64;
 
-constexpr std::array<std::string_view, 19> kReasons = {
+constexpr std::array<std::string_view, 19> kReasonNames = {
     "peer_closed", "peer_reset",  "refused",       "dial_timeout", "execution_timeout",
     "cancelled",   "bad_message", "unread_answer", "close_asked",  "idle",
     "stalled",     "silent",      "done",          "moved",        "descriptors",
@@ -42,7 +42,7 @@
 
 void Connection::open() {
   socket_.setBlocking(false);
-  if (!local_) socket_.setNoDelay(true);
+  if (!unixSocket_) socket_.setNoDelay(true);
   if (paused_) return;
   loop_.addEventHandler(socket_, Readable(*this, &Connection::onReadable));
   registered_ = true;
@@ -53,21 +53,21 @@
   try {
     socket_.connectNB(address);
     socket_.setNoDelay(true);
-    wantWrite(true);
+    setWriteInterest(true);
   } catch (const Poco::Exception&) {
-    endSoon(Reason::refused);
+    endLater(CloseReason::refused);
   }
 }
 
 void Connection::send(http::Gather pieces) {
   out_.append(std::move(pieces));
-  if (!dialing_ && !ended_ && !wantsWrite_) write();
+  if (!dialing_ && !ended_ && !writeInterest_) write();
 }
 
 void Connection::pauseReading(bool pause) {
   if (pause == paused_ || ended_) return;
   paused_ = pause;
-  if (dialing_) return;  // open() comes later and looks
+  if (dialing_) return;  // open() checks paused_
   if (pause) {
     loop_.removeEventHandler(socket_, Readable(*this, &Connection::onReadable));
   } else {
@@ -76,42 +76,43 @@
   registered_ = !pause;
 }
 
-void Connection::endCut(Reason reason) {
+void Connection::endWithReset(CloseReason reason) {
   try {
     socket_.setLinger(true, 0);
   } catch (const Poco::Exception&) {
-    // It is gone already, and the peer knows.
+    // The peer has closed the connection already.
   }
   end(reason);
 }
 
-void Connection::finish(Reason reason) {
+void Connection::finish(CloseReason reason) {
   if (finishing_ || ended_) return;
   pauseReading(false);
   finishing_ = true;
   finishReason_ = reason;
-  lingering_ = loop_.in(linger_, [this] { end(finishReason_); });
+  lingerTimer_ = loop_.after(lingerTimeout_, [this] { end(finishReason_); });
   if (out_.empty()) write();
 }
 
-void Connection::end(Reason reason) {
+void Connection::end(CloseReason reason) {
   if (ended_) return;
   ended_ = true;
   if (finishing_) reason = finishReason_;
-  loop_.cancel(lingering_);
+  loop_.cancel(lingerTimer_);
   const auto self = shared_from_this();
-  wantWrite(false);
+  setWriteInterest(false);
   if (registered_) loop_.removeEventHandler(socket_, Readable(*this, &Connection::onReadable));
   socket_.close();
-  Line(Level::info) << "ended side=" << side_ << " peer=" << peer_
-                    << " reason=" << kReasons[static_cast<std::size_t>(reason)] << " messages=" << messages_
-                    << " in=" << bytesIn_ << " out=" << bytesOut_ << (why_.empty() ? "" : " why=") << why_;
-  gone(reason);
-  loop_.bury(self);
+  LogLine(Level::info) << "ended side=" << side_ << " peer=" << peer_
+                       << " reason=" << kReasonNames[static_cast<std::size_t>(reason)]
+                       << " messages=" << messages_ << " in=" << bytesIn_ << " out=" << bytesOut_
+                       << (detail_.empty() ? "" : " why=") << detail_;
+  closed(reason);
+  loop_.deferDestruction(self);
 }
 
-void Connection::endSoon(Reason reason) {
-  loop_.soon([self = shared_from_this(), reason] { self->end(reason); });
+void Connection::endLater(CloseReason reason) {
+  loop_.post([self = shared_from_this(), reason] { self->end(reason); });
 }
 
 bool Connection::stale() {
@@ -126,7 +127,7 @@
 void Connection::onReadable(ReadableNotification* event) {
   event->release();
   const auto self = shared_from_this();
-  if (!loop_.guarded([this] { read(); })) end(Reason::fault);
+  if (!loop_.runGuarded([this] { read(); })) end(CloseReason::fault);
 }
 
 void Connection::onWritable(WritableNotification* event) {
@@ -135,16 +136,16 @@
   const auto handler = [this] {
     if (ended_) return;
     if (dialing_) {
-      if (socket_.impl()->socketError() != 0) return end(Reason::refused);
+      if (socket_.impl()->socketError() != 0) return end(CloseReason::refused);
       dialing_ = false;
-      wantWrite(false);
+      setWriteInterest(false);
       open();
       opened();
       if (ended_) return;
     }
     write();
   };
-  if (!loop_.guarded(handler)) end(Reason::fault);
+  if (!loop_.runGuarded(handler)) end(CloseReason::fault);
 }
 
 void Connection::read() {
@@ -154,16 +155,16 @@
   try {
     size = socket_.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
   } catch (const Poco::Exception& error) {
-    if (!wouldBlock(error)) end(Reason::peerReset);
+    if (!wouldBlock(error)) end(CloseReason::peerReset);
     return;
   }
   if (size < 0) return;
-  if (size == 0) return end(Reason::peerClosed);
+  if (size == 0) return end(CloseReason::peerClosed);
   bytesIn_ += static_cast<std::uint64_t>(size);
   if (finishing_) {
-    // Guards against a peer that sends on at full speed: the last answer has been there for that long.
-    unread_ += static_cast<std::size_t>(size);
-    if (unread_ > mostUnread_) end(finishReason_);
+    // Bounds the input from a peer that keeps sending after the last message.
+    discardedBytes_ += static_cast<std::size_t>(size);
+    if (discardedBytes_ > maxDiscardedBytes_) end(finishReason_);
     return;
   }
   in_.append(buffer.data(), static_cast<std::size_t>(size));
@@ -171,47 +172,47 @@
 }
 
 void Connection::write() {
-  if (broken_) return;
+  if (writeFailed_) return;
   while (!out_.empty()) {
     Poco::Net::SocketBufVec buffers;
     for (const std::string_view piece : out_.pieces()) {
-      if (buffers.size() == kMostPieces) break;
+      if (buffers.size() == kMaxPiecesPerWrite) break;
       buffers.push_back({const_cast<char*>(piece.data()), piece.size()});
     }
     int size = 0;
     try {
       size = socket_.sendBytes(buffers);
     } catch (const Poco::Exception& error) {
-      if (wouldBlock(error)) return wantWrite(true);
-      broken_ = true;  // what is left stays: its last byte was not written
-      wantWrite(false);
-      return endSoon(Reason::peerReset);
+      if (wouldBlock(error)) return setWriteInterest(true);
+      writeFailed_ = true;  // out_ is kept: allWritten() must stay false
+      setWriteInterest(false);
+      return endLater(CloseReason::peerReset);
     }
-    if (size < 0) return wantWrite(true);
+    if (size < 0) return setWriteInterest(true);
     bytesOut_ += static_cast<std::uint64_t>(size);
     out_.written(static_cast<std::size_t>(size));
   }
-  wantWrite(false);
+  setWriteInterest(false);
   written();
   if (finishing_ && !ended_) {
     try {
       socket_.shutdownSend();
     } catch (const Poco::Exception&) {
-      endSoon(finishReason_);
+      endLater(finishReason_);
     }
   }
 }
 
-void Connection::wantWrite(bool want) {
-  if (want == wantsWrite_) return;
-  wantsWrite_ = want;
+void Connection::setWriteInterest(bool interested) {
+  if (interested == writeInterest_) return;
+  writeInterest_ = interested;
   const Poco::Observer<Connection, WritableNotification> writable(*this, &Connection::onWritable);
-  if (want) {
+  if (interested) {
     loop_.addEventHandler(socket_, writable);
   } else {
     loop_.removeEventHandler(socket_, writable);
-    // Guards against a loop that spins: the reactor polls for writing on while another handler is left, so
-    // that one goes too, and comes back.
+    // The reactor keeps polling for writability while any handler of the socket is left, which would make the
+    // loop spin. Re-registering the read handler resets the poll mode.
     if (!registered_) return;
     loop_.removeEventHandler(socket_, Readable(*this, &Connection::onReadable));
     if (!ended_) loop_.addEventHandler(socket_, Readable(*this, &Connection::onReadable));
--- a/src/sidecar/connection.hpp
+++ b/src/sidecar/connection.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// One TCP connection of any side: its socket, the bytes read and not yet used, the pieces not yet written.
-// It owns its registration at the reactor and writes the one log line of its end. It must never call out
-// from within a call on it (failures come in a later turn), never block, and knows no HTTP.
+// Base class of all non-blocking stream connections: socket, read buffer, write queue and registration with
+// the reactor. Logs one line when the connection ends. Failures are reported in a later turn of the loop,
+// never from within a call on the connection.
 
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/SocketNotification.h>
@@ -18,7 +18,7 @@
 
 namespace rackroute::sidecar {
 
-enum class Reason {
+enum class CloseReason {
   peerClosed,
   peerReset,
   refused,
@@ -42,81 +42,84 @@
 
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  /// An accepted socket, or one to dial with.
+  /// `socket` is either accepted, followed by open(), or unconnected, followed by dial(). `side` and `peer`
+  /// are used for logging.
   Connection(Loop& loop, std::string_view side, Poco::Net::StreamSocket socket, std::string peer);
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
   virtual ~Connection();
 
-  /// Registers an accepted socket. Apart from the constructor, as events need a shared owner.
+  /// Registers an accepted socket. Separate from the constructor, as event handlers need shared_from_this().
   void open();
   void dial(const Poco::Net::SocketAddress& address);
   void send(http::Gather pieces);
-  /// Ends it once all is written and the peer has seen it: no reset overtakes the last answer.
-  void finish(Reason reason);
-  void end(Reason reason);
+  /// Closes gracefully: writes all queued data, shuts down sending and lingers until the peer closes, so that
+  /// no reset overtakes the last message.
+  void finish(CloseReason reason);
+  /// Closes immediately.
+  void end(CloseReason reason);
   [[nodiscard]] bool ended() const { return ended_; }
   [[nodiscard]] bool finishing() const { return finishing_; }
   [[nodiscard]] bool allWritten() const { return out_.empty(); }
-  /// Bytes that wait to be written.
-  [[nodiscard]] std::size_t backlog() const { return out_.size(); }
-  /// Reads nothing more until it is to again: the peer then waits, and nobody else.
+  /// Number of bytes queued for writing.
+  [[nodiscard]] std::size_t unsentBytes() const { return out_.size(); }
+  /// Pauses or resumes reading; TCP flow control then stops the peer.
   void pauseReading(bool pause);
   [[nodiscard]] bool dialing() const { return dialing_; }
-  /// Whether the peer has closed it or sent bytes that nobody asked for.
+  /// Whether the peer has closed the connection or sent unexpected bytes.
   [[nodiscard]] bool stale();
 
  protected:
-  /// Takes what has come already, without waiting for the reactor to tell.
+  /// Reads available data without waiting for a reactor event.
   void readNow() { read(); }
   virtual void opened() {}
   virtual void received() = 0;
   virtual void written() {}
-  virtual void gone(Reason reason) = 0;  // exactly once, in a turn of its own or as the caller's end()
+  virtual void closed(CloseReason reason) = 0;  // exactly once, by end() or in a later turn
 
-  /// Bytes moved so far, either way: what tells a slow peer from a stalled one.
-  [[nodiscard]] std::uint64_t moved() const { return bytesIn_ + bytesOut_; }
-  [[nodiscard]] bool pausedReading() const { return paused_; }
+  /// Bytes read and written so far; used to detect stalled peers.
+  [[nodiscard]] std::uint64_t bytesTransferred() const { return bytesIn_ + bytesOut_; }
+  [[nodiscard]] bool readingPaused() const { return paused_; }
   [[nodiscard]] std::uint64_t bytesWritten() const { return bytesOut_; }
-  /// While it finishes: how much is still read and thrown away, and for how long.
-  void lingerFor(std::size_t unread, Span time) {
-    mostUnread_ = unread;
-    linger_ = time;
+  /// Limits how much input finish() discards and how long it waits for the peer to close.
+  void setLingerLimits(std::size_t maxDiscarded, Span timeout) {
+    maxDiscardedBytes_ = maxDiscarded;
+    lingerTimeout_ = timeout;
   }
-  /// Ends with a reset, so that the peer knows that something is missing.
-  void endCut(Reason reason);
+  /// Closes with a TCP reset, so that the peer detects a truncated message.
+  void endWithReset(CloseReason reason);
   [[nodiscard]] int descriptor() const { return socket_.impl()->sockfd(); }
 
   Loop& loop_;
-  bool local_ = false;  // within the machine, not TCP
+  bool unixSocket_ = false;
   std::string in_;
   std::uint64_t messages_ = 0;  // for the log line
-  std::string_view why_;        // for the log line, where the reason alone says too little
+  std::string_view detail_;     // for the log line, in addition to the reason
 
  private:
   void onReadable(Poco::Net::ReadableNotification* event);
   void onWritable(Poco::Net::WritableNotification* event);
   void read();
   void write();
-  void wantWrite(bool want);
-  void endSoon(Reason reason);
+  void setWriteInterest(bool interested);
+  void endLater(CloseReason reason);
 
   std::string_view side_;
   std::string peer_;
   Poco::Net::StreamSocket socket_;
   http::Gather out_;
-  Loop::TimerId lingering_;
-  std::size_t unread_ = 0;  // bytes that came after the last answer
+  Loop::TimerId lingerTimer_;
+  std::size_t discardedBytes_ = 0;  // received while finishing
   std::uint64_t bytesIn_ = 0;
   std::uint64_t bytesOut_ = 0;
-  Reason finishReason_ = Reason::done;
-  std::size_t mostUnread_ = 64 * 1024;     // bytes after a last answer; the rest of a query that is too long
-  Span linger_ = std::chrono::seconds(1);  // for the peer to see a last answer; far above any round trip
+  CloseReason finishReason_ = CloseReason::done;
+  std::size_t maxDiscardedBytes_ = 64 * 1024;
+  Span lingerTimeout_ = std::chrono::seconds(1);
   bool registered_ = false;
   bool paused_ = false;
   bool dialing_ = false;
-  bool wantsWrite_ = false;
-  bool broken_ = false;
+  bool writeInterest_ = false;
+  bool writeFailed_ = false;
   bool finishing_ = false;
   bool ended_ = false;
 };
--- a/src/sidecar/counters.cpp
+++ b/src/sidecar/counters.cpp
@@ -21,7 +21,7 @@
       << " reused=" << reused << " discovery_calls=" << discoveryCalls
       << " discovery_failures=" << discoveryFailures << " lists=" << lists
       << " out_of_descriptors=" << outOfDescriptors << " turns=" << turns << " timers=" << timers
-      << " latest_timer_us=" << latestTimer << " faults=" << faults;
+      << " latest_timer_us=" << maxTimerDelay << " faults=" << faults;
 }
 
 }  // namespace rackroute::sidecar
--- a/src/sidecar/counters.hpp
+++ b/src/sidecar/counters.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// What the sidecar took in, sent and answered since its start. Each part of the program counts its own lines
-// here; nothing reads them back but the printing.
+// Counters of the process since its start, printed on SIGUSR1 and at exit.
 
 #include <array>
 #include <cstdint>
@@ -15,16 +14,16 @@
 
 std::string_view nameOf(Outcome outcome);
 
-/// A use case's final answers that were handed to a client.
-struct Finals {
+/// Final results of one use case.
+struct FinalResults {
   std::uint64_t completed = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
 };
 
 struct Counters {
-  std::vector<Finals> finals;  // by use case
-  std::uint64_t relayed = 0;   // executions written whole to their server
+  std::vector<FinalResults> finalResults;  // indexed by use case
+  std::uint64_t relayed = 0;               // executions fully written to their server
   std::uint64_t queries = 0;
   std::uint64_t completed = 0;
   std::uint64_t rejected = 0;
@@ -32,8 +31,8 @@
   std::uint64_t clientsLeft = 0;
   std::uint64_t badQueries = 0;
   std::uint64_t executions = 0;
-  std::array<std::uint64_t, 8> outcomes{};  // by Outcome
-  std::uint64_t lateAnswers = 0;            // whole, but their query was over
+  std::array<std::uint64_t, 8> outcomes{};  // indexed by Outcome
+  std::uint64_t lateAnswers = 0;            // complete, but their query had been answered
   std::uint64_t clientConnections = 0;
   std::uint64_t serverConnections = 0;
   std::uint64_t dialsFailed = 0;
@@ -42,10 +41,10 @@
   std::uint64_t discoveryFailures = 0;
   std::uint64_t lists = 0;
   std::uint64_t outOfDescriptors = 0;
-  std::uint64_t turns = 0;  // of the loop
+  std::uint64_t turns = 0;  // of the event loop
   std::uint64_t timers = 0;
-  std::uint64_t latestTimer = 0;  // microseconds after its time
-  std::uint64_t faults = 0;       // errors of the program itself
+  std::uint64_t maxTimerDelay = 0;  // microseconds
+  std::uint64_t faults = 0;         // exceptions caught by the event loop
 
   void print(std::ostream& out) const;
 };
--- a/src/sidecar/discovery.cpp
+++ b/src/sidecar/discovery.cpp
@@ -23,14 +23,14 @@
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
-constexpr Span kSilence = 4500ms;              // two of a watch's lines, each due every 2 s, and a margin
-constexpr std::size_t kLongestList = 1 << 20;  // bytes; some thousands of servers
+constexpr Span kSilenceTimeout = 4500ms;  // a watch sends a line at least every 2 s
+constexpr std::size_t kMaxListBytes = 1 << 20;
 
 Lifecycle lifecycle(const std::string& status) {
   if (status == "up") return Lifecycle::serving;
   if (status == "draining") return Lifecycle::draining;
   if (status == "removed") return Lifecycle::removed;
-  throw std::invalid_argument("unknown status " + status);
+  throw std::invalid_argument("unknown server status: " + status);
 }
 
 }  // namespace
@@ -44,35 +44,36 @@
     const auto read = std::from_chars(text.data() + colon + 1, end, port);
     if (read.ec == std::errc{} && read.ptr == end) return {ip, port};
   }
-  throw std::invalid_argument("not an address: '" + text + "'");
+  throw std::invalid_argument("not a numeric address with port: '" + text + "'");
 }
 
-Listed readList(const Poco::Dynamic::Var& json, told::Names& zones, const Loop& loop, std::uint64_t& index) {
+ServerList readList(const Poco::Dynamic::Var& json, told::Names& zones, const Loop& loop,
+                    std::uint64_t& index) {
   const auto object = json.extract<Object::Ptr>();
-  Listed listed;
+  ServerList list;
   const auto version = object->getValue<std::uint64_t>("index");
-  listed.listing = object->getValue<bool>("snapshot") ? ServerListKind::complete : ServerListKind::changes;
+  list.kind = object->getValue<bool>("snapshot") ? ServerListKind::complete : ServerListKind::changes;
   const Array::Ptr entries = object->getArray("endpoints");
-  if (entries.isNull()) throw std::invalid_argument("no endpoints");
-  for (const auto& entry : *entries) {
-    const auto one = entry.extract<Object::Ptr>();
+  if (entries.isNull()) throw std::invalid_argument("list has no endpoints");
+  for (const auto& item : *entries) {
+    const auto entry = item.extract<Object::Ptr>();
     ListedServer server;
-    server.id = told::serverId(one->getValue<std::string>("name"));
-    server.lifecycle = lifecycle(one->getValue<std::string>("status"));
-    server.zone = {zones.id(one->optValue<std::string>("zone", ""))};
-    server.cell = {one->optValue<std::int64_t>("group", 0)};
-    server.size = one->optValue("weight", 1.0);
-    const auto since = one->optValue<std::int64_t>("since_ms", 0);
+    server.id = told::serverId(entry->getValue<std::string>("name"));
+    server.lifecycle = lifecycle(entry->getValue<std::string>("status"));
+    server.zone = {zones.id(entry->optValue<std::string>("zone", ""))};
+    server.cell = {entry->optValue<std::int64_t>("group", 0)};
+    server.size = entry->optValue("weight", 1.0);
+    const auto since = entry->optValue<std::int64_t>("since_ms", 0);
     if (since > 0)
       server.startedAt =
           loop.sinceStart(std::chrono::system_clock::time_point(std::chrono::milliseconds(since)));
-    if (server.lifecycle == Lifecycle::serving || one->has("address"))
-      listed.addresses.emplace_back(server.id, numericAddress(one->getValue<std::string>("address")));
-    listed.servers.push_back(server);
-    listed.entries.push_back(one);
+    if (server.lifecycle == Lifecycle::serving || entry->has("address"))
+      list.addresses.emplace_back(server.id, numericAddress(entry->getValue<std::string>("address")));
+    list.servers.push_back(server);
+    list.entries.push_back(entry);
   }
   index = version;
-  return listed;
+  return list;
 }
 
 class DiscoveryCall : public Connection {
@@ -82,8 +83,8 @@
         discovery_(discovery),
         watch_(watch) {}
 
-  void ask(const Poco::Net::SocketAddress& address) {
-    heard();
+  void request(const Poco::Net::SocketAddress& address) {
+    restartSilenceTimer();
     http::Gather pieces;
     std::string head = "GET /discovery/hosts";
     if (watch_) head += "?watch=1&after=" + std::to_string(discovery_.index_);
@@ -92,89 +93,91 @@
     dial(address);
     send(std::move(pieces));
   }
-  /// Ends it without telling the balancer.
-  void drop() {
-    dropped_ = true;
-    end(Reason::done);
+  /// Closes the connection without reporting a failure.
+  void endQuietly() {
+    quiet_ = true;
+    end(CloseReason::done);
   }
 
  protected:
   void received() override {
-    heard();
-    watch_ ? readWatch() : readAnswer();
+    restartSilenceTimer();
+    watch_ ? readWatchLines() : readListResponse();
   }
-  void gone(Reason) override {
-    loop_.cancel(silence_);
+  void closed(CloseReason) override {
+    loop_.cancel(silenceTimer_);
     if (discovery_.watch_.get() == this) discovery_.watch_.reset();
     discovery_.calls_.erase(this);
-    if (!dropped_) discovery_.exchange_.discoveryFailed();
+    if (!quiet_) discovery_.dispatcher_.discoveryFailed();
   }
 
  private:
-  // Guards against a discovery that is cut off: its connection stays open and says nothing.
-  void heard() {
-    loop_.cancel(silence_);
-    silence_ = loop_.in(kSilence, [this] { end(Reason::silent); });
+  // Detects a discovery service that became unreachable while its connection stays open.
+  void restartSilenceTimer() {
+    loop_.cancel(silenceTimer_);
+    silenceTimer_ = loop_.after(kSilenceTimeout, [this] { end(CloseReason::silent); });
   }
-  void readAnswer() {
+  void readListResponse() {
     const Progress progress = reader_.read(in_);
     if (progress == Progress::more) return;
-    if (progress != Progress::done) return end(Reason::badMessage);
-    const http::Message answer = reader_.take(in_);
-    if (answer.status() != 200) return end(Reason::refused);
-    if (!discovery_.told(std::string(answer.body()), false, false)) return end(Reason::badMessage);
-    drop();
+    if (progress != Progress::done) return end(CloseReason::badMessage);
+    const http::Message response = reader_.take(in_);
+    if (response.status() != 200) return end(CloseReason::refused);
+    if (!discovery_.applyList(std::string(response.body()), false, false))
+      return end(CloseReason::badMessage);
+    endQuietly();
   }
-  void readWatch() {
-    if (!open_) {
+  void readWatchLines() {
+    if (!headRead_) {
       const Progress progress = reader_.readHead(in_);
       if (progress == Progress::more) return;
-      if (progress != Progress::done) return end(Reason::badMessage);
+      if (progress != Progress::done) return end(CloseReason::badMessage);
       const http::Message head = reader_.takeHead(in_);
-      if (head.status() != 200 || !head.chunked()) return end(Reason::refused);
-      open_ = true;
+      if (head.status() != 200 || !head.chunked()) return end(CloseReason::refused);
+      headRead_ = true;
     }
     std::size_t used = 0;
-    const Progress progress = chunks_.read(in_, used, lines_, kLongestList);
+    const Progress progress = chunks_.read(in_, used, buffer_, kMaxListBytes);
     in_.erase(0, used);
-    for (std::size_t end; (end = lines_.find('\n')) != std::string::npos;) {
-      std::string line = lines_.substr(0, end);
-      lines_.erase(0, end + 1);
+    for (std::size_t end; (end = buffer_.find('\n')) != std::string::npos;) {
+      std::string line = buffer_.substr(0, end);
+      buffer_.erase(0, end + 1);
       if (!line.empty() && line.back() == '\r') line.pop_back();
       if (line.empty()) continue;
-      if (!discovery_.told(line, true, std::exchange(first_, false))) return this->end(Reason::badMessage);
+      if (!discovery_.applyList(line, true, std::exchange(firstLine_, false)))
+        return this->end(CloseReason::badMessage);
       if (ended()) return;
     }
-    if (progress == Progress::done) return end(Reason::peerClosed);
-    if (progress != Progress::more) end(Reason::badMessage);
+    if (progress == Progress::done) return end(CloseReason::peerClosed);
+    if (progress != Progress::more) end(CloseReason::badMessage);
   }
 
   Discovery& discovery_;
   bool watch_;
-  http::Reader reader_{http::Reader::Kind::answer, kLongestList};
+  http::Reader reader_{http::Reader::Kind::answer, kMaxListBytes};
   http::Chunks chunks_;
-  std::string lines_;
-  Loop::TimerId silence_;
-  bool open_ = false;
-  bool first_ = true;
-  bool dropped_ = false;
+  std::string buffer_;
+  Loop::TimerId silenceTimer_;
+  bool headRead_ = false;
+  bool firstLine_ = true;
+  bool quiet_ = false;
 };
 
-Discovery::Discovery(Loop& loop, Exchange& exchange, told::Names& zones, Poco::Net::SocketAddress address,
+Discovery::Discovery(Loop& loop, Dispatcher& dispatcher, told::Names& zones, Poco::Net::SocketAddress address,
                      std::uint64_t index)
-    : loop_(loop), exchange_(exchange), zones_(zones), address_(std::move(address)), index_(index) {}
+    : loop_(loop), dispatcher_(dispatcher), zones_(zones), address_(std::move(address)), index_(index) {}
 
 Discovery::~Discovery() = default;
 
 void Discovery::watch() {
   const auto before = std::exchange(watch_, nullptr);
-  if (before) before->drop();
+  if (before) before->endQuietly();
   watch_ = call(true);
 }
 
 void Discovery::list() { call(false); }
 
-// What was asked for and not yet told is asked for anew, so that nothing of it is lost on the way.
+// Repeats pending calls at the new address.
 void Discovery::moveTo(const Poco::Net::SocketAddress& address) {
   if (address == address_ && watch_) return;
   address_ = address;
@@ -182,16 +185,16 @@
   const auto calls = calls_;
   for (const auto& [at, call] : calls) {
     listing = listing || call != watch_;
-    call->drop();
+    call->endQuietly();
   }
   watch();
   if (listing) list();
 }
 
-// An empty list is doubted, and so is no list to hand on.
-void Discovery::keep(const Listed& listed) {
-  if (listed.listing != ServerListKind::changes && !listed.entries.empty()) entries_.clear();
-  for (const auto& entry : listed.entries) {
+// An empty complete list is not trusted, so it does not replace the stored entries.
+void Discovery::storeList(const ServerList& list) {
+  if (list.kind != ServerListKind::changes && !list.entries.empty()) entries_.clear();
+  for (const auto& entry : list.entries) {
     const auto name = entry->getValue<std::string>("name");
     if (entry->getValue<std::string>("status") == "removed") {
       entries_.erase(name);
@@ -221,29 +224,30 @@
     Poco::Net::StreamSocket socket(address_.family());
     auto made = std::make_shared<DiscoveryCall>(*this, watch, socket, address_.toString());
     calls_.emplace(made.get(), made);
-    made->ask(address_);
+    made->request(address_);
     return made;
   } catch (const Poco::Exception& error) {
     ++loop_.counters.outOfDescriptors;
-    Line(Level::warning) << "no_socket what=\"" << error.displayText() << '"';
-    // In a turn of its own: the balancer is asking.
-    loop_.soon([this] { exchange_.discoveryFailed(); });
+    LogLine(Level::warning) << "no_socket what=\"" << error.displayText() << '"';
+    // Deferred, as the balancer is making this call.
+    loop_.post([this] { dispatcher_.discoveryFailed(); });
     return nullptr;
   }
 }
 
-bool Discovery::told(const std::string& json, bool watch, bool first) {
+bool Discovery::applyList(const std::string& json, bool watch, bool first) {
   try {
     std::uint64_t index = 0;
-    const Listed listed = readList(Poco::JSON::Parser().parse(json), zones_, loop_, index);
-    // Guards against a list and a watch that overtake each other; a watch's first line may start anew.
+    const ServerList list = readList(Poco::JSON::Parser().parse(json), zones_, loop_, index);
+    // Ignores an outdated list when a call and the watch overtake each other. The first line of a watch may
+    // have a lower index, as discovery may have restarted.
     if (index < index_ && !(watch && first)) return true;
     index_ = index;
-    keep(listed);
-    exchange_.serversListed(listed);
+    storeList(list);
+    dispatcher_.serversListed(list);
     return true;
   } catch (const std::exception& error) {
-    Line(Level::warning) << "bad_list what=\"" << error.what() << '"';
+    LogLine(Level::warning) << "bad_list what=\"" << error.what() << '"';
     return false;
   }
 }
--- a/src/sidecar/discovery.hpp
+++ b/src/sidecar/discovery.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// Discovery as the balancer asks for it: a watch on changes and calls for the whole list. It owns the
-// connections to discovery and the version of the list last told. It must never make up a list: what fails,
-// falls silent or can't be parsed is told as a failure. When to ask again is not its business.
+// Client of the discovery service: a long-lived watch for changes and single calls for the complete list.
+// Failed, silent or malformed responses are reported to the dispatcher as failures; the balancer decides
+// when to retry.
 
 #include <Poco/Dynamic/Var.h>
 #include <Poco/Net/SocketAddress.h>
@@ -13,7 +13,7 @@
 #include <optional>
 #include <string>
 
-#include "sidecar/exchange.hpp"
+#include "sidecar/dispatcher.hpp"
 #include "sidecar/loop.hpp"
 #include "terms/told.hpp"
 
@@ -21,15 +21,16 @@
 
 class DiscoveryCall;
 
-/// An address in numbers; anything else throws, as no name is ever looked up.
+/// Parses a numeric address with port. Throws std::invalid_argument otherwise; names are never resolved.
 Poco::Net::SocketAddress numericAddress(const std::string& text);
 
-/// A list in discovery's form, which the configuration shares; throws what is wrong with it.
-Listed readList(const Poco::Dynamic::Var& json, told::Names& zones, const Loop& loop, std::uint64_t& index);
+/// Parses a server list in the JSON format of discovery and of the configuration. Throws if it is malformed.
+ServerList readList(const Poco::Dynamic::Var& json, told::Names& zones, const Loop& loop,
+                    std::uint64_t& index);
 
 class Discovery {
  public:
-  Discovery(Loop& loop, Exchange& exchange, told::Names& zones, Poco::Net::SocketAddress address,
+  Discovery(Loop& loop, Dispatcher& dispatcher, told::Names& zones, Poco::Net::SocketAddress address,
             std::uint64_t index);
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
@@ -37,25 +38,26 @@
 
   void watch();
   void list();
-  /// The list as it stands, in discovery's form: what a successor goes on with.
+  /// The current list in discovery's JSON format, for handover to a successor.
   [[nodiscard]] std::string state() const;
-  void keep(const Listed& listed);
-  /// Goes on at another address: a watch stands there at once, and leaving the old one is no failure.
+  void storeList(const ServerList& list);
+  /// Switches to another address. Starts a watch there at once; closing the old one is not reported as a
+  /// failure.
   void moveTo(const Poco::Net::SocketAddress& address);
 
  private:
   friend class DiscoveryCall;
 
   std::shared_ptr<DiscoveryCall> call(bool watch);
-  /// False: it can't be parsed.
-  bool told(const std::string& json, bool watch, bool first);
+  /// Parses and applies a list. Returns false if it is malformed.
+  bool applyList(const std::string& json, bool watch, bool first);
 
   Loop& loop_;
-  Exchange& exchange_;
+  Dispatcher& dispatcher_;
   told::Names& zones_;
   Poco::Net::SocketAddress address_;
   std::uint64_t index_;
-  std::map<std::string, Poco::JSON::Object::Ptr> entries_;  // by name
+  std::map<std::string, Poco::JSON::Object::Ptr> entries_;  // by server name
   std::map<DiscoveryCall*, std::shared_ptr<DiscoveryCall>> calls_;
   std::shared_ptr<DiscoveryCall> watch_;
 };
--- a/src/sidecar/handover.hpp
+++ b/src/sidecar/handover.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-// The change from one process to the next under load: two of them are one sidecar. It owns the Unix socket in
-// the folder that both share, the channel between the two, and the file of what operators said by hand. It
-// must never leave the clients' address without a process that accepts, keep a new process from starting, or
-// lose a server that is out by hand; what either process decides is not its business.
+// Handover from a running process to its successor without interrupting service. Owns the Unix socket in the
+// shared folder, the channel between both processes, and the file with the servers that operators have
+// disabled. At any time at least one process accepts clients, and no failure of the handover keeps a new
+// process from starting.
 
 #include <Poco/JSON/Object.h>
 #include <Poco/Net/ServerSocket.h>
@@ -24,12 +24,12 @@
 
 namespace rackroute::sidecar {
 
-class ClientSide;
+class ClientListener;
 class Discovery;
-class Exchange;
+class Dispatcher;
 class HandoverPeer;
 
-/// What an old process gave: the clients' listening socket and its state.
+/// Received from the old process: the client listening socket and its state.
 struct Inherited {
   Poco::Net::ServerSocket listener;
   Poco::JSON::Object::Ptr state;
@@ -37,30 +37,31 @@
 
 class Handover {
  public:
-  /// No folder: there is never another process.
+  /// An empty folder disables handover.
   Handover(Loop& loop, std::string folder, const std::string& listen);
   Handover(const Handover&) = delete;
   Handover& operator=(const Handover&) = delete;
   ~Handover();
 
-  /// Asks an old process, before the loop runs; waits a bounded time.
-  std::optional<Inherited> ask();
-  /// Takes over what was said by hand, and is from here on to be asked by a new process. Calls back when this
-  /// one is to be called ready, and each time that a second process comes or goes.
-  void start(Exchange& exchange, ClientSide& clients, Discovery& discovery, std::function<void()> ready,
-             std::function<void()> shared);
-  /// What else the successor goes on with, and who is to step back for it, or go on if it ends. Before
-  /// start().
-  void handOn(std::function<std::string()> state, std::function<void(bool)> yield) {
+  /// Requests socket and state from an old process. Blocks for a bounded time; called before the loop runs.
+  std::optional<Inherited> requestState();
+  /// Applies the stored server overrides and starts listening for a successor. Calls `ready` when this
+  /// process may report readiness, and `sharedChanged` whenever another process connects or disconnects.
+  void start(Dispatcher& dispatcher, ClientListener& clients, Discovery& discovery,
+             std::function<void()> ready, std::function<void()> sharedChanged);
+  /// Sets how to export the fleet state, and how to yield the fleet membership to a successor or take it
+  /// back. To be called before start().
+  void setFleetHooks(std::function<std::string()> state, std::function<void(bool)> yield) {
     fleetState_ = std::move(state);
-    fleetYields_ = std::move(yield);
+    yieldFleet_ = std::move(yield);
   }
-  /// What an operator says of a server; tells once it holds, in both processes.
-  void say(ServerId server, bool out, std::function<void(bool)> said);
+  /// Disables or enables a server on an operator's request. Calls `done` once both processes have applied it,
+  /// or with false if it could not be stored.
+  void setServerDisabled(ServerId server, bool disabled, std::function<void(bool)> done);
   void stop();
   [[nodiscard]] bool isShared() const { return !peers_.empty(); }
-  /// Whether another process accepts what comes.
-  [[nodiscard]] bool succeeded() const { return successor_ != nullptr; }
+  /// Whether a successor has taken over accepting clients.
+  [[nodiscard]] bool hasSuccessor() const { return successor_ != nullptr; }
 
  private:
   friend class HandoverPeer;
@@ -68,36 +69,36 @@
   [[nodiscard]] std::optional<Poco::Net::StreamSocket> dial() const;
   void listen();
   void accept(Poco::Net::ReadableNotification* event);
-  bool remember();
-  void apply(ServerId server, handover::Word word);
-  void inherit(HandoverPeer& peer);
+  bool saveOverrides();
+  void apply(ServerId server, handover::Word entry);
+  void sendState(HandoverPeer& peer);
   void yieldTo(HandoverPeer& peer);
-  void ended(HandoverPeer& peer);
-  void kept(std::uint64_t turn);
+  void peerEnded(HandoverPeer& peer);
+  void acknowledged(std::uint64_t sequence);
   [[nodiscard]] std::string state() const;
 
-  struct Waiting {  // a word that not every process keeps yet
-    std::size_t missing = 0;
+  struct PendingChange {  // not yet acknowledged by every process
+    std::size_t acksMissing = 0;
     Loop::TimerId timer;
-    std::function<void()> all;
+    std::function<void()> onComplete;
   };
 
   Loop& loop_;
-  Poco::Net::SocketAddress clientsAddress_;
-  std::string path_;  // of the socket; the file is beside it
-  Exchange* exchange_ = nullptr;
-  ClientSide* clients_ = nullptr;
+  Poco::Net::SocketAddress clientAddress_;
+  std::string socketPath_;  // also the prefix of the overrides file
+  Dispatcher* dispatcher_ = nullptr;
+  ClientListener* clients_ = nullptr;
   Discovery* discovery_ = nullptr;
-  std::function<void()> shared_;
+  std::function<void()> sharedChanged_;
   std::function<std::string()> fleetState_;
-  std::function<void(bool)> fleetYields_;
-  std::optional<Poco::Net::StreamSocket> asked_;
+  std::function<void(bool)> yieldFleet_;
+  std::optional<Poco::Net::StreamSocket> oldProcess_;
   std::unique_ptr<Poco::Net::ServerSocket> listener_;
   std::map<HandoverPeer*, std::shared_ptr<HandoverPeer>> peers_;
-  HandoverPeer* successor_ = nullptr;  // one that said it is ready
-  handover::Said said_;
-  std::map<std::uint64_t, Waiting> waiting_;
-  std::uint64_t lastTurn_ = 0;
+  HandoverPeer* successor_ = nullptr;  // the peer that has reported ready
+  handover::Said overrides_;
+  std::map<std::uint64_t, PendingChange> pendingChanges_;
+  std::uint64_t lastSequence_ = 0;
   bool stopped_ = false;
 };
 
--- a/src/sidecar/log.hpp
+++ b/src/sidecar/log.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
-// The program's log: one line a piece of news on standard error, filtered by level. It owns nothing but the
-// level and must never decide anything.
+// Log of the program: one line per event on standard error, filtered by level.
 
 #include <iostream>
 #include <sstream>
@@ -9,23 +8,23 @@
 
 namespace rackroute::sidecar {
 
-enum class Level { debug, info, warning, error, asked };  // asked: what somebody asked for just now
+enum class Level { debug, info, warning, error, always };  // always: output requested by an operator
 
-/// What is logged from here on; by its name, as in RACKROUTE_LOG. False: no such level.
+/// Sets the minimum level by name, as in RACKROUTE_LOG. Returns false for an unknown name.
 bool setLevel(std::string_view name);
-bool logs(Level level);
+bool isEnabled(Level level);
 
-/// One line, written whole when it goes out of scope.
-class Line {
+/// One log line, written when the object is destroyed.
+class LogLine {
  public:
-  explicit Line(Level level) : level_(level) {}
-  Line(const Line&) = delete;
-  Line& operator=(const Line&) = delete;
-  ~Line();
+  explicit LogLine(Level level) : level_(level) {}
+  LogLine(const LogLine&) = delete;
+  LogLine& operator=(const LogLine&) = delete;
+  ~LogLine();
 
   template <class Value>
-  Line& operator<<(const Value& value) {
-    if (logs(level_)) text_ << value;
+  LogLine& operator<<(const Value& value) {
+    if (isEnabled(level_)) text_ << value;
     return *this;
   }
 
--- a/src/sidecar/loop.cpp
+++ b/src/sidecar/loop.cpp
@@ -10,13 +10,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kLongestPoll = 1s;  // with no timer set; any length would do
+constexpr Span kMaxPollTimeout = 1s;
 
 }  // namespace
 
-Loop::Loop() { setTimeout(Poco::Timespan(kLongestPoll.count())); }
+Loop::Loop() { setTimeout(Poco::Timespan(kMaxPollTimeout.count())); }
 
-Span Loop::now() const { return std::chrono::duration_cast<Span>(std::chrono::steady_clock::now() - start_); }
+Span Loop::now() const {
+  return std::chrono::duration_cast<Span>(std::chrono::steady_clock::now() - startedSteady_);
+}
 
 Loop::TimerId Loop::at(Span due, Task task) {
   const TimerId id{due, ++lastTimer_};
@@ -29,42 +31,42 @@
   timer = {};
 }
 
-bool Loop::guarded(const Task& handler) {
-  bool whole = true;
+bool Loop::runGuarded(const Task& handler) {
+  bool succeeded = true;
   try {
     handler();
   } catch (const std::exception& error) {
     ++counters.faults;
-    Line(Level::error) << "fault what=\"" << error.what() << '"';
-    whole = false;
+    LogLine(Level::error) << "fault what=\"" << error.what() << '"';
+    succeeded = false;
   }
-  rearm();
-  return whole;
+  updatePollTimeout();
+  return succeeded;
 }
 
 void Loop::runDue() {
-  dead_.clear();
+  pendingDestruction_.clear();
   ++counters.turns;
   const Span now = this->now();
   while (!timers_.empty() && timers_.begin()->first.first <= now) {
     const Task task = std::move(timers_.begin()->second);
     const Span due = timers_.begin()->first.first;
-    if (due > Span{0}) {  // not one that is only to run soon
+    if (due > Span{0}) {  // posted tasks do not count
       ++counters.timers;
-      counters.latestTimer = std::max(counters.latestTimer, static_cast<std::uint64_t>((now - due).count()));
+      counters.maxTimerDelay =
+          std::max(counters.maxTimerDelay, static_cast<std::uint64_t>((now - due).count()));
     }
     timers_.erase(timers_.begin());
-    guarded(task);
+    runGuarded(task);
   }
-  rearm();
+  updatePollTimeout();
 }
 
-// Guards against late timers: the reactor polls with the time-out set last, in whole milliseconds rounded
-// down, calls nothing while sockets stay readable but onBusy, and measures from when its handlers are done.
-// So every handler sets the time-out anew as its last act, rounded up.
-void Loop::rearm() {
-  Span wait = kLongestPoll;
-  if (!timers_.empty()) wait = std::clamp(timers_.begin()->first.first - now(), Span{0}, kLongestPoll);
+// The reactor polls with the timeout set last, truncated to milliseconds, starting when its handlers are
+// done. So that timers run on time, each handler updates the timeout as its last action, rounded up.
+void Loop::updatePollTimeout() {
+  Span wait = kMaxPollTimeout;
+  if (!timers_.empty()) wait = std::clamp(timers_.begin()->first.first - now(), Span{0}, kMaxPollTimeout);
   wait = (wait + 999us) / 1ms * 1ms;
   setTimeout(Poco::Timespan(wait.count()));
 }
--- a/src/sidecar/loop.hpp
+++ b/src/sidecar/loop.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The one thread's reactor, its clock and its timers. It owns what waits for a time and what is to be freed
-// after the turn in which it ended; it must never block but in the reactor's poll, and knows no protocol.
+// Single-threaded event loop: the socket reactor, a clock, timers, and objects whose destruction is deferred
+// to the end of the current turn.
 
 #include <Poco/Net/SocketReactor.h>
 
@@ -26,19 +26,19 @@
   Loop();
 
   [[nodiscard]] Span now() const;
-  /// The span since start of a time of the machines' common clock.
+  /// Converts a system time to a time of this loop.
   [[nodiscard]] Span sinceStart(std::chrono::system_clock::time_point time) const {
-    return std::chrono::duration_cast<Span>(time - startedAt_);
+    return std::chrono::duration_cast<Span>(time - startedSystem_);
   }
   TimerId at(Span due, Task task);
-  TimerId in(Span wait, Task task) { return at(now() + wait, std::move(task)); }
-  void soon(Task task) { at(Span{0}, std::move(task)); }
-  /// Does nothing for none, or for one that has run. The id is none afterwards.
+  TimerId after(Span wait, Task task) { return at(now() + wait, std::move(task)); }
+  void post(Task task) { at(Span{0}, std::move(task)); }
+  /// Cancels a timer and resets its id. Does nothing for {0, 0} or a timer that has run.
   void cancel(TimerId& timer);
-  /// Keeps it until the turn is over: nothing is freed while a call on it may still return into it.
-  void bury(std::shared_ptr<void> dead) { dead_.push_back(std::move(dead)); }
-  /// Runs one handler: what it throws is logged and told, and the poll waits no longer than the next timer.
-  bool guarded(const Task& handler);
+  /// Keeps the object alive until the end of the turn, as calls on it may still be on the stack.
+  void deferDestruction(std::shared_ptr<void> object) { pendingDestruction_.push_back(std::move(object)); }
+  /// Runs a handler, logs its exception if any (returning false), and updates the poll timeout.
+  bool runGuarded(const Task& handler);
 
   Counters counters;
 
@@ -49,13 +49,13 @@
 
  private:
   void runDue();
-  void rearm();
+  void updatePollTimeout();
 
-  std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
-  std::chrono::system_clock::time_point startedAt_ = std::chrono::system_clock::now();
+  std::chrono::steady_clock::time_point startedSteady_ = std::chrono::steady_clock::now();
+  std::chrono::system_clock::time_point startedSystem_ = std::chrono::system_clock::now();
   std::map<TimerId, Task> timers_;
   std::uint64_t lastTimer_ = 0;
-  std::vector<std::shared_ptr<void>> dead_;
+  std::vector<std::shared_ptr<void>> pendingDestruction_;
 };
 
 }  // namespace rackroute::sidecar
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -1,6 +1,5 @@
-// Starts the sidecar from what it is told, and ends it when asked. It owns the parts and their order, and
-// turns signals into calls: TERM and INT stop it, HUP has it told anew, USR1 prints the counters. It must
-// never start half told, nor end or forget anything because it was told anew.
+// Entry point of the sidecar: reads the configuration, creates the components and handles signals. SIGTERM
+// and SIGINT stop it, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
 
 #include <Poco/Exception.h>
 #include <Poco/JSON/Array.h>
@@ -26,16 +25,16 @@
 #include <string>
 
 #include "handover/learned.hpp"
-#include "sidecar/admin_side.hpp"
-#include "sidecar/client_side.hpp"
+#include "sidecar/admin_listener.hpp"
+#include "sidecar/client_listener.hpp"
 #include "sidecar/discovery.hpp"
-#include "sidecar/exchange.hpp"
-#include "sidecar/fleet_side.hpp"
-#include "sidecar/fleet_told.hpp"
+#include "sidecar/dispatcher.hpp"
+#include "sidecar/fleet_config.hpp"
+#include "sidecar/fleet_transport.hpp"
 #include "sidecar/handover.hpp"
 #include "sidecar/log.hpp"
 #include "sidecar/loop.hpp"
-#include "sidecar/server_side.hpp"
+#include "sidecar/server_pool.hpp"
 #include "sidecar/signals.hpp"
 #include "terms/told.hpp"
 
@@ -46,233 +45,241 @@
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
-constexpr std::size_t kForBodies = 4;             // one part in so many of the memory waits to be written
-constexpr std::size_t kLeastBacklog = 16 * 1024;  // bytes a connection; a few round trips at 64 kB a second
-constexpr std::size_t kMostBacklog = 256 * 1024;  // bytes a connection; more makes nothing quicker
-constexpr std::size_t kForDoor = 56;  // descriptors; the door's 32 and the program's own dozen, and a margin
+constexpr std::size_t kUnsentMemoryDivisor = 4;      // a quarter of the memory may hold unsent data
+constexpr std::size_t kMinUnsentBytes = 16 * 1024;   // per connection
+constexpr std::size_t kMaxUnsentBytes = 256 * 1024;  // per connection
+constexpr std::size_t kAdminDescriptors = 56;        // reserved for the admin listener and the program itself
+constexpr std::size_t kFleetDescriptors = 40;        // reserved for the fleet's sockets and exchanges
 
-constexpr std::size_t kForFleet = 40;  // descriptors; exchanges at a time, two sockets and a margin
-
-void flatten(const std::string& path, const Var& value, told::Pairs& pairs) {
+void flatten(const std::string& path, const Var& value, told::Pairs& settingPairs) {
   if (value.isEmpty()) return;
   if (value.type() == typeid(Object::Ptr)) {
     for (const auto& [name, inner] : *value.extract<Object::Ptr>())
-      flatten(path.empty() ? name : path + '.' + name, inner, pairs);
+      flatten(path.empty() ? name : path + '.' + name, inner, settingPairs);
   } else if (value.type() == typeid(Array::Ptr)) {
     const auto& list = *value.extract<Array::Ptr>();
-    pairs[path + ".count"] = std::to_string(list.size());
+    settingPairs[path + ".count"] = std::to_string(list.size());
     for (std::size_t i = 0; i < list.size(); ++i)
-      flatten(path + '.' + std::to_string(i), list.get(static_cast<unsigned>(i)), pairs);
+      flatten(path + '.' + std::to_string(i), list.get(static_cast<unsigned>(i)), settingPairs);
   } else {
-    pairs[path] = value.convert<std::string>();
+    settingPairs[path] = value.convert<std::string>();
   }
 }
 
-Var needed(const Object& document, const std::string& name) {
+Var required(const Object& document, const std::string& name) {
   const Var value = document.get(name);
-  if (value.isEmpty()) throw std::runtime_error("the configuration lacks " + name);
+  if (value.isEmpty()) throw std::runtime_error("missing configuration key: " + name);
   return value;
 }
 
-/// What the file that LB_CONFIG names tells, checked as a whole; the same at the start and on HUP.
-struct Assignment {
+/// The validated configuration file named by LB_CONFIG, read at the start and on SIGHUP.
+struct Configuration {
   std::string name;
   std::string listen;
   Poco::Net::SocketAddress discovery;
   std::uint64_t seed = 0;
-  told::Pairs pairs;
+  told::Pairs settingPairs;
   std::optional<rlim_t> descriptors;
-  std::optional<std::uint64_t> megabytes;         // of memory
-  std::optional<Poco::Net::SocketAddress> admin;  // the operators' door, where there is one
-  std::optional<FleetTold> fleet;                 // the fleet, where members talk to each other
+  std::optional<std::uint64_t> memoryMegabytes;
+  std::optional<Poco::Net::SocketAddress> admin;
+  std::optional<FleetConfig> fleet;
   Var known;
 };
 
-Assignment readAssignment() {
+Configuration readConfiguration() {
   const char* const path = std::getenv("LB_CONFIG");
   if (path == nullptr) throw std::runtime_error("LB_CONFIG is not set");
   std::ifstream file(path);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) throw std::runtime_error(std::string("cannot read ") + path);
   const Var parsed = Poco::JSON::Parser().parse(text.str());
-  if (parsed.type() != typeid(Object::Ptr)) throw std::runtime_error("the configuration is no object");
+  if (parsed.type() != typeid(Object::Ptr))
+    throw std::runtime_error("the configuration is not a JSON object");
   const auto document = parsed.extract<Object::Ptr>();
 
-  Assignment made;
-  made.name = document->optValue<std::string>("name", "-");
-  made.listen = needed(*document, "listen").convert<std::string>();
-  numericAddress(made.listen);
-  made.discovery = numericAddress(needed(*document, "discovery").convert<std::string>());
-  const auto seed = needed(*document, "seed").convert<std::string>();
-  const auto read = std::from_chars(seed.data(), seed.data() + seed.size(), made.seed, 16);
+  Configuration config;
+  config.name = document->optValue<std::string>("name", "-");
+  config.listen = required(*document, "listen").convert<std::string>();
+  numericAddress(config.listen);
+  config.discovery = numericAddress(required(*document, "discovery").convert<std::string>());
+  const auto seed = required(*document, "seed").convert<std::string>();
+  const auto read = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size()) told::malformed("seed", seed);
-  flatten("", needed(*document, "settings"), made.pairs);
+  flatten("", required(*document, "settings"), config.settingPairs);
   if (const auto limits = document->getObject("limits"); limits && limits->has("sockets"))
-    made.descriptors = limits->getValue<std::uint32_t>("sockets");
+    config.descriptors = limits->getValue<std::uint32_t>("sockets");
   if (const auto limits = document->getObject("limits"); limits && limits->has("memory_mb"))
-    made.megabytes = limits->getValue<std::uint32_t>("memory_mb");
-  made.known = needed(*document, "known");
-  // The variable goes first: a second process has a door of its own and all else the same.
-  auto door = document->optValue<std::string>("admin", "");
-  if (const char* const given = std::getenv("LB_ADMIN"); given != nullptr && *given != '\0') door = given;
-  if (!door.empty()) made.admin = numericAddress(door);
+    config.memoryMegabytes = limits->getValue<std::uint32_t>("memory_mb");
+  config.known = required(*document, "known");
+  // The environment takes precedence: a second process shares the configuration, but not the admin address.
+  auto admin = document->optValue<std::string>("admin", "");
+  if (const char* const fromEnvironment = std::getenv("LB_ADMIN");
+      fromEnvironment != nullptr && *fromEnvironment != '\0')
+    admin = fromEnvironment;
+  if (!admin.empty()) config.admin = numericAddress(admin);
   if (const Var fleet = document->get("fleet"); !fleet.isEmpty()) {
-    const auto zone = made.pairs.find("locality");
-    made.fleet = readFleet(fleet, made.name, zone != made.pairs.end() ? zone->second : "");
+    const auto zone = config.settingPairs.find("locality");
+    config.fleet = readFleetConfig(fleet, config.name, zone != config.settingPairs.end() ? zone->second : "");
   }
-  return made;
+  return config;
 }
 
-// Guards against more descriptors than the machine is given: the system itself then says no.
-// Two processes that are one sidecar have half each.
-void limitDescriptors(const Assignment& told, ClientSide& clients, ServerSide& servers, bool shared) {
-  static const rlim_t atStart = [] {
+// Applies the configured descriptor limit to the process and divides it among the components. During a
+// handover each of the two processes gets half.
+void limitDescriptors(const Configuration& config, ClientListener& clients, ServerPool& servers,
+                      bool shared) {
+  static const rlim_t initialLimit = [] {
     rlimit limit{};
     ::getrlimit(RLIMIT_NOFILE, &limit);
     return limit.rlim_cur;
   }();
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
-  limit.rlim_cur = std::min(atStart, told.descriptors.value_or(atStart)) / (shared ? 2 : 1);
+  limit.rlim_cur = std::min(initialLimit, config.descriptors.value_or(initialLimit)) / (shared ? 2 : 1);
   ::setrlimit(RLIMIT_NOFILE, &limit);
-  // Guards against executions that leave none for the operators' door: beside the application's share some
-  // are kept back.
-  const std::size_t all = limit.rlim_cur;
-  clients.limitDescriptors(all);
-  // Guards against long messages by the dozen that eat the memory: a part of it, over all connections.
-  if (told.megabytes) {
-    const std::size_t each = (*told.megabytes << 20) / kForBodies / std::max<std::size_t>(all, 1);
-    clients.limitBacklog(std::clamp(each, kLeastBacklog, kMostBacklog));
-    servers.limitBacklog(std::clamp(each, kLeastBacklog, kMostBacklog));
+  const std::size_t descriptors = limit.rlim_cur;
+  clients.limitDescriptors(descriptors);
+  // Bounds the memory used by unsent data of all connections.
+  if (config.memoryMegabytes) {
+    const std::size_t perConnection =
+        (*config.memoryMegabytes << 20) / kUnsentMemoryDivisor / std::max<std::size_t>(descriptors, 1);
+    clients.limitUnsentBytes(std::clamp(perConnection, kMinUnsentBytes, kMaxUnsentBytes));
+    servers.limitUnsentBytes(std::clamp(perConnection, kMinUnsentBytes, kMaxUnsentBytes));
   }
-  const std::size_t kept = (told.admin ? kForDoor : 0) + (told.fleet ? kForFleet : 0);
-  if (kept > 0) servers.limitConnections(all / 2 - std::min(kept, all / 4));
+  // Executions leave some descriptors for the admin listener and the fleet.
+  const std::size_t reserved =
+      (config.admin ? kAdminDescriptors : 0) + (config.fleet ? kFleetDescriptors : 0);
+  if (reserved > 0) servers.limitConnections(descriptors / 2 - std::min(reserved, descriptors / 4));
 }
 
-// Guards against a reload that costs service: a file that can't be used changes nothing, and one that can
-// moves discovery and the descriptor limit; the rest is told to the balancer once, and waits for a restart.
-void tellAnew(Assignment& told, ClientSide& clients, ServerSide& servers, Discovery& discovery, bool shared) {
+// Reloads the configuration. An invalid file changes nothing. Only the discovery address and the resource
+// limits are applied; other changes are logged as needing a restart.
+void reload(Configuration& current, ClientListener& clients, ServerPool& servers, Discovery& discovery,
+            bool shared) {
   try {
-    Assignment anew = readAssignment();
-    const told::Told checked(anew.seed, anew.pairs);
-    limitDescriptors(anew, clients, servers, shared);
-    discovery.moveTo(anew.discovery);
-    std::string waits;
-    if (anew.listen != told.listen) waits += ",listen";
-    if (anew.admin != told.admin) waits += ",admin";
-    if (anew.name != told.name) waits += ",name";
-    if (anew.fleet != told.fleet) waits += ",fleet";
-    if (anew.pairs != told.pairs) waits += ",settings";
-    Line(Level::info) << "reloaded discovery=" << anew.discovery.toString()
-                      << (waits.empty() ? "" : " needs_restart=") << waits.substr(waits.empty() ? 0 : 1);
-    told.discovery = anew.discovery;
+    Configuration updated = readConfiguration();
+    const told::Told checkedSettings(updated.seed, updated.settingPairs);
+    limitDescriptors(updated, clients, servers, shared);
+    discovery.moveTo(updated.discovery);
+    std::string needsRestart;
+    if (updated.listen != current.listen) needsRestart += ",listen";
+    if (updated.admin != current.admin) needsRestart += ",admin";
+    if (updated.name != current.name) needsRestart += ",name";
+    if (updated.fleet != current.fleet) needsRestart += ",fleet";
+    if (updated.settingPairs != current.settingPairs) needsRestart += ",settings";
+    LogLine(Level::info) << "reloaded discovery=" << updated.discovery.toString()
+                         << (needsRestart.empty() ? "" : " needs_restart=")
+                         << needsRestart.substr(needsRestart.empty() ? 0 : 1);
+    current.discovery = updated.discovery;
   } catch (const Poco::Exception& error) {
-    Line(Level::warning) << "reload_refused what=\"" << error.displayText() << '"';
+    LogLine(Level::warning) << "reload_refused what=\"" << error.displayText() << '"';
   } catch (const std::exception& error) {
-    Line(Level::warning) << "reload_refused what=\"" << error.what() << '"';
+    LogLine(Level::warning) << "reload_refused what=\"" << error.what() << '"';
   }
 }
 
-// Guards against a list in the configuration that is older than what the process before was told.
-void takeOver(const Object& state, Exchange& exchange, told::Names& zones, const Loop& loop, Listed& known,
-              std::uint64_t& index) {
+// Restores the old process's server list, unless the configuration has a newer one.
+void restoreState(const Object& state, Dispatcher& dispatcher, told::Names& zones, const Loop& loop,
+                  ServerList& known, std::uint64_t& index) {
   try {
-    const auto ever = state.getArray("ever");
-    for (const auto& server : *ever) exchange.learn(ServerId{std::stoull(server.convert<std::string>())});
+    const auto everListed = state.getArray("ever");
+    for (const auto& server : *everListed)
+      dispatcher.recordListed(ServerId{std::stoull(server.convert<std::string>())});
     std::uint64_t version = 0;
-    Listed listed =
+    ServerList list =
         readList(Poco::JSON::Parser().parse(state.getValue<std::string>("list")), zones, loop, version);
-    if (version < index || listed.servers.empty()) return;
-    known = std::move(listed);
+    if (version < index || list.servers.empty()) return;
+    known = std::move(list);
     index = version;
   } catch (const Poco::Exception& error) {
-    Line(Level::warning) << "no_handover what=\"" << error.displayText() << '"';
+    LogLine(Level::warning) << "no_handover what=\"" << error.displayText() << '"';
   } catch (const std::exception& error) {
-    Line(Level::warning) << "no_handover what=\"" << error.what() << '"';
+    LogLine(Level::warning) << "no_handover what=\"" << error.what() << '"';
   }
 }
 
 int run() {
   if (const char* level = std::getenv("RACKROUTE_LOG"); level != nullptr && !setLevel(level))
-    throw std::runtime_error("RACKROUTE_LOG is not a level: " + std::string(level));
+    throw std::runtime_error("unknown level in RACKROUTE_LOG: " + std::string(level));
   Loop loop;
   Signals signals(loop);
-  // Guards against a reload that comes before the start is over: its default action would end the program.
+  // Ignores SIGHUP during startup; its default action would terminate the process.
   signals.on(SIGHUP, [] {});
-  Assignment assignment = readAssignment();
-  told::Told told(assignment.seed, assignment.pairs);
-  told.terms.discoveryOnRequest = true;  // here discovery only ever answers
+  Configuration config = readConfiguration();
+  told::Told settings(config.seed, config.settingPairs);
+  settings.terms.discoveryOnRequest = true;  // this discovery service only answers requests
 
-  // Another process comes only where operators call this one by a door of its own.
+  // Handover needs an admin address, which tells the two processes apart for operators.
   const char* const folder = std::getenv("TMPDIR");
-  Handover change(loop, assignment.admin && folder != nullptr ? folder : "", assignment.listen);
-  const std::optional<Inherited> inherited = change.ask();
+  Handover handover(loop, config.admin && folder != nullptr ? folder : "", config.listen);
+  const std::optional<Inherited> inherited = handover.requestState();
 
-  Exchange exchange(loop);
-  ClientSide clients(loop, exchange, told);
-  ServerSide servers(loop, exchange, told);
-  limitDescriptors(assignment, clients, servers, inherited.has_value());
+  Dispatcher dispatcher(loop);
+  ClientListener clients(loop, dispatcher, settings);
+  ServerPool servers(loop, dispatcher, settings);
+  limitDescriptors(config, clients, servers, inherited.has_value());
   std::uint64_t index = 0;
-  Listed known = readList(assignment.known, told.zones, loop, index);
-  if (inherited) takeOver(*inherited->state, exchange, told.zones, loop, known, index);
-  known.listing = ServerListKind::persisted;
-  assignment.known.clear();
-  Discovery discovery(loop, exchange, told.zones, assignment.discovery, index);
-  discovery.keep(known);
-  AdminSide admin(loop, exchange, told, [&](ServerId server, bool out, std::function<void(bool)> said) {
-    change.say(server, out, std::move(said));
-  });
-  std::optional<FleetSide> fleet;
-  if (assignment.fleet) {
-    fleet.emplace(loop, *assignment.fleet, assignment.seed, [&](std::uint32_t members) {
-      exchange.fleetOf(std::max(members, told.terms.balancerCount));
+  ServerList known = readList(config.known, settings.zones, loop, index);
+  if (inherited) restoreState(*inherited->state, dispatcher, settings.zones, loop, known, index);
+  known.kind = ServerListKind::persisted;
+  config.known.clear();
+  Discovery discovery(loop, dispatcher, settings.zones, config.discovery, index);
+  discovery.storeList(known);
+  AdminListener admin(loop, dispatcher, settings,
+                      [&](ServerId server, bool disabled, std::function<void(bool)> done) {
+                        handover.setServerDisabled(server, disabled, std::move(done));
+                      });
+  std::optional<FleetTransport> fleet;
+  if (config.fleet) {
+    fleet.emplace(loop, *config.fleet, config.seed, [&](std::uint32_t members) {
+      dispatcher.setBalancerCount(std::max(members, settings.terms.balancerCount));
     });
-    admin.show(*fleet);
-    change.handOn([&] { return fleet->state(); }, [&](bool yes) { fleet->yield(yes); });
+    admin.showFleet(*fleet);
+    handover.setFleetHooks([&] { return fleet->state(); },
+                           [&](bool yielding) { fleet->setYielding(yielding); });
   }
   const auto stop = [&] {
-    Line(Level::info) << "stopping";
-    admin.ready(false);
+    LogLine(Level::info) << "stopping";
+    admin.setReady(false);
     if (fleet) fleet->leave();
-    change.stop();
+    handover.stop();
     clients.stop([&] { loop.stop(); });
   };
   signals.on(SIGTERM, stop);
   signals.on(SIGINT, stop);
-  signals.on(SIGHUP, [&] { tellAnew(assignment, clients, servers, discovery, change.isShared()); });
+  signals.on(SIGHUP, [&] { reload(config, clients, servers, discovery, handover.isShared()); });
   signals.on(SIGUSR1, [&] {
     std::ostringstream text;
     loop.counters.print(text);
-    Line(Level::asked) << text.str();
+    LogLine(Level::always) << text.str();
   });
-  if (assignment.admin) admin.listen(*assignment.admin);
+  if (config.admin) admin.listen(*config.admin);
   inherited ? clients.adopt(inherited->listener)
-            : clients.listen(numericAddress(assignment.listen), assignment.admin.has_value());
-  exchange.start(told, clients, servers, discovery, known);
+            : clients.listen(numericAddress(config.listen), config.admin.has_value());
+  dispatcher.start(settings, clients, servers, discovery, known);
   if (inherited) {
-    if (const auto learned = handover::readLearned(inherited->state->optValue<std::string>("learned", "")))
-      exchange.learn(*learned);
+    if (const auto snapshot = handover::readLearned(inherited->state->optValue<std::string>("learned", "")))
+      dispatcher.restore(*snapshot);
   }
-  // Guards against an old process that hangs, or has just gone on, and has the fleet's address: it must not
-  // keep this one from starting.
-  if (fleet && !inherited) assignment.admin ? fleet->startWhenFree() : fleet->start();
-  change.start(
-      exchange, clients, discovery,
+  // An old process that hangs or has resumed may hold the fleet address; this one starts nevertheless.
+  if (fleet && !inherited) config.admin ? fleet->startWhenFree() : fleet->start();
+  handover.start(
+      dispatcher, clients, discovery,
       [&] {
-        // Two processes are one member: this one takes part once the other has stepped back.
-        if (fleet && inherited) fleet->succeed(inherited->state->optValue<std::string>("fleet", ""));
-        admin.ready(true);
+        // Both processes are the same fleet member: this one joins once the other has yielded.
+        if (fleet && inherited) fleet->resume(inherited->state->optValue<std::string>("fleet", ""));
+        admin.setReady(true);
       },
-      [&] { limitDescriptors(assignment, clients, servers, change.isShared()); });
-  Line(Level::info) << "listening name=" << assignment.name << " address=" << assignment.listen
-                    << " servers=" << known.servers.size();
-  if (fleet) loop.guarded([] {});  // so that the first poll ends with the first timer
+      [&] { limitDescriptors(config, clients, servers, handover.isShared()); });
+  LogLine(Level::info) << "listening name=" << config.name << " address=" << config.listen
+                       << " servers=" << known.servers.size();
+  if (fleet) loop.runGuarded([] {});  // sets the poll timeout for the first timer
   loop.run();
 
   std::ostringstream counters;
   loop.counters.print(counters);
-  Line(Level::info) << counters.str();
-  Line(Level::info) << "stopped";
+  LogLine(Level::info) << counters.str();
+  LogLine(Level::info) << "stopped";
   return 0;
 }
 
--- a/src/sidecar/signals.cpp
+++ b/src/sidecar/signals.cpp
@@ -12,19 +12,19 @@
 namespace rackroute::sidecar {
 namespace {
 
-int signalEnds[2] = {-1, -1};
+int signalSockets[2] = {-1, -1};
 
 void onSignal(int number) {
   const char byte = static_cast<char>(number);
-  [[maybe_unused]] const auto written = ::write(signalEnds[1], &byte, 1);
+  [[maybe_unused]] const auto written = ::write(signalSockets[1], &byte, 1);
 }
 
 }  // namespace
 
 Signals::Signals(Loop& loop) : loop_(loop) {
-  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, signalEnds) != 0)
-    throw std::runtime_error("no socket for signals");
-  socket_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(signalEnds[0]));
+  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, signalSockets) != 0)
+    throw std::runtime_error("cannot create the socket pair for signals");
+  socket_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(signalSockets[0]));
   socket_.setBlocking(false);
   loop_.addEventHandler(socket_,
                         Poco::Observer<Signals, Poco::Net::ReadableNotification>(*this, &Signals::read));
@@ -41,7 +41,7 @@
 
 void Signals::read(Poco::Net::ReadableNotification* event) {
   event->release();
-  loop_.guarded([this] {
+  loop_.runGuarded([this] {
     char number = 0;
     if (socket_.receiveBytes(&number, 1) == 1) tasks_.at(number)();
   });
--- a/src/sidecar/signals.hpp
+++ b/src/sidecar/signals.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Signals as bytes on a socket, so that they come in a turn of the loop like all else; what comes before the
-// loop runs waits there. It owns that socket and the process's handlers: one a process.
+// Delivers POSIX signals as events of the loop, by way of a socket pair. Signals that arrive before the loop
+// runs stay queued. At most one instance per process.
 
 #include <Poco/Net/SocketNotification.h>
 #include <Poco/Net/StreamSocket.h>
@@ -14,8 +14,7 @@
 
 class Signals {
  public:
-  /// Throws std::runtime_error without a socket. A closed peer is told by the write, not by a signal, from
-  /// here on.
+  /// Throws std::runtime_error if the socket pair cannot be created. Also ignores SIGPIPE.
   explicit Signals(Loop& loop);
   void on(int number, Loop::Task task);
 
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -1,13 +1,13 @@
-// Long and slow messages: passed on as they come, in bounded memory, and never more than once.
+// Large and slow messages: streamed in bounded memory and never sent twice.
 
-#include "program.hpp"
+#include "sidecar_process.hpp"
 
 using namespace rackroute::program;
 
 namespace {
 
 const std::string kPiece(50000, 'x');
-constexpr int kPieces = 40;  // two million bytes in all
+constexpr int kPieces = 40;
 
 std::string post(const std::string& framing) {
   std::string head = query("book", "Idempotency-Key: 5c0f\r\n" + framing);
@@ -20,152 +20,152 @@
 
 }  // namespace
 
-TEST_CASE("a long body goes to the server as it comes, and its long answer comes back as it goes") {
+TEST_CASE("a long body is streamed to the server, and its long response is streamed back") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
-  const bool chunks = GENERATE(false, true);
-  client.say(post(chunks ? "Transfer-Encoding: chunked\r\n" : length(kPieces * kPiece.size())));
-  const auto piece = [&] { return chunks ? chunk(kPiece) : kPiece; };
-  for (int i = 0; i < 4; ++i) client.say(piece());
-  Peer server = sidecar.server();  // with most of the body still to come
-  CHECK(has(server.until("\r\n\r\n"), "POST /book/"));
-  std::thread rest([&] {
-    for (int i = 4; i < kPieces; ++i) client.say(piece());
-    if (chunks) client.say("0\r\n\r\n");
+  const bool chunked = GENERATE(false, true);
+  client.send(post(chunked ? "Transfer-Encoding: chunked\r\n" : length(kPieces * kPiece.size())));
+  const auto piece = [&] { return chunked ? chunk(kPiece) : kPiece; };
+  for (int i = 0; i < 4; ++i) client.send(piece());
+  Peer server = sidecar.acceptServer();  // most of the body has not been sent yet
+  CHECK(has(server.readUntil("\r\n\r\n"), "POST /book/"));
+  std::thread sender([&] {
+    for (int i = 4; i < kPieces; ++i) client.send(piece());
+    if (chunked) client.send("0\r\n\r\n");
   });
-  if (chunks) {
-    server.until("\r\n0\r\n\r\n");
+  if (chunked) {
+    server.readUntil("\r\n0\r\n\r\n");
   } else {
-    CHECK(server.swallow(kPieces * kPiece.size()) == kPieces * kPiece.size());
+    CHECK(server.discard(kPieces * kPiece.size()) == kPieces * kPiece.size());
   }
-  rest.join();
-  server.say(kLong + kPiece);
-  CHECK(has(client.until("\r\n\r\n"), "HTTP/1.1 200 "));  // with most of the answer still to come
-  std::thread answers([&] {
-    for (int i = 1; i < kPieces; ++i) server.say(kPiece);
+  sender.join();
+  server.send(kLong + kPiece);
+  CHECK(has(client.readUntil("\r\n\r\n"), "HTTP/1.1 200 "));  // most of the response has not been sent yet
+  std::thread responder([&] {
+    for (int i = 1; i < kPieces; ++i) server.send(kPiece);
   });
-  CHECK(client.swallow(kPieces * kPiece.size()) == kPieces * kPiece.size());
-  answers.join();
-  client.say(query("pay"));  // both connections serve again
-  server.message();
-  server.say(served("next"));
-  CHECK(has(client.message(), "next"));
+  CHECK(client.discard(kPieces * kPiece.size()) == kPieces * kPiece.size());
+  responder.join();
+  client.send(query("pay"));  // both connections are reused
+  server.readMessage();
+  server.send(okResponse("next"));
+  CHECK(has(client.readMessage(), "next"));
 }
 
-TEST_CASE("a slow reader makes its server wait, and nobody else") {
+TEST_CASE("a slow reader pauses its own server connection and delays no other query") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer slow = sidecar.connect();
-  slow.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
-  server.say("HTTP/1.1 200 OK\r\n" + length(40000000) + "\r\n");
-  const std::size_t taken = server.push(kPiece, 39000000);
-  CHECK(taken < 39000000);
+  slow.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  server.send("HTTP/1.1 200 OK\r\n" + length(40000000) + "\r\n");
+  const std::size_t sent = server.sendUntilBlocked(kPiece, 39000000);
+  CHECK(sent < 39000000);
   Peer quick = sidecar.connect();
-  quick.say(query("read"));
-  Peer other = sidecar.server();
-  other.message();
-  other.say(served("done"));
-  CHECK(has(quick.message(), "done"));
-  slow.until("\r\n\r\n");
-  CHECK(slow.swallow(taken) == taken);
+  quick.send(query("read"));
+  Peer other = sidecar.acceptServer();
+  other.readMessage();
+  other.send(okResponse("done"));
+  CHECK(has(quick.readMessage(), "done"));
+  slow.readUntil("\r\n\r\n");
+  CHECK(slow.discard(sent) == sent);
 }
 
-TEST_CASE("a long answer that breaks is cut for the client, and its query not sent again") {
+TEST_CASE("a streamed response that breaks off is truncated for the client, and its query not retried") {
   Sidecar sidecar(2);
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
-  server.say(kLong + kPiece + kPiece);
-  client.until("\r\n\r\n");
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  server.send(kLong + kPiece + kPiece);
+  client.readUntil("\r\n\r\n");
   server.reset();
-  CHECK(client.swallow(kPieces * kPiece.size()) < kPieces * kPiece.size());
-  CHECK(sidecar.nobodyDialled());
+  CHECK(client.discard(kPieces * kPiece.size()) < kPieces * kPiece.size());
+  CHECK(sidecar.noServerDialled());
 }
 
-TEST_CASE("a client that leaves while its body comes, or its answer, leaves its server free") {
+TEST_CASE("a client that leaves while a body or response is streamed releases its server connection") {
   const bool body = GENERATE(true, false);
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
   if (body) {
-    client.say(post(length(1000000)) + kPiece + kPiece);
+    client.send(post(length(1000000)) + kPiece + kPiece);
   } else {
-    client.say(query("read"));
+    client.send(query("read"));
   }
-  Peer server = sidecar.server();
-  server.until("\r\n\r\n");
+  Peer server = sidecar.acceptServer();
+  server.readUntil("\r\n\r\n");
   if (!body) {
-    server.say(kLong + kPiece);
-    client.until("\r\n\r\n");
+    server.send(kLong + kPiece);
+    client.readUntil("\r\n\r\n");
   }
   client.reset();
-  CHECK(server.swallow(1000000) < 1000000);  // it ends
+  CHECK(server.discard(1000000) < 1000000);  // the sidecar closes it
 }
 
-TEST_CASE("a body that was passed on is not sent again, and one that never comes whole is ended") {
+TEST_CASE("a streamed body is not sent again, and one that is never completed is ended") {
   Sidecar sidecar(2);
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(post(length(1000000)) + kPiece + kPiece);
-  Peer server = sidecar.server();
-  server.until("\r\n\r\n");
-  SECTION("the server turns it away") {
-    server.say("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-    const std::string answer = client.message();
+  client.send(post(length(1000000)) + kPiece + kPiece);
+  Peer server = sidecar.acceptServer();
+  server.readUntil("\r\n\r\n");
+  SECTION("the server rejects it") {
+    server.send("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+    const std::string answer = client.readMessage();
     CHECK(has(answer, "HTTP/1.1 503 "));
     CHECK(has(answer, "Connection: close"));
   }
   SECTION("the server dies") {
     server.reset();
-    CHECK(has(client.message(), "HTTP/1.1 503 "));  // its last byte was never written: it never ran
+    CHECK(has(client.readMessage(), "HTTP/1.1 503 "));  // its last byte was not written, so it never ran
   }
   SECTION("the client stalls") {
-    CHECK(client.ends());
-    CHECK(server.swallow(1000000) < 1000000);
+    CHECK(client.closedByPeer());
+    CHECK(server.discard(1000000) < 1000000);
   }
-  CHECK(sidecar.nobodyDialled());
+  CHECK(sidecar.noServerDialled());
 }
 
-TEST_CASE("a body that goes bad on its way is refused, and its execution ended unrun") {
+TEST_CASE("a streamed body that becomes malformed is rejected, and its execution ended") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(post("Transfer-Encoding: chunked\r\n") + chunk(kPiece) + chunk(kPiece));
-  Peer server = sidecar.server();
-  server.until("\r\n\r\n");
-  client.say("no size\r\n");
-  CHECK(has(client.message(), "HTTP/1.1 400 "));
-  CHECK(server.swallow(1000000) < 1000000);  // it ends
+  client.send(post("Transfer-Encoding: chunked\r\n") + chunk(kPiece) + chunk(kPiece));
+  Peer server = sidecar.acceptServer();
+  server.readUntil("\r\n\r\n");
+  client.send("no size\r\n");
+  CHECK(has(client.readMessage(), "HTTP/1.1 400 "));
+  CHECK(server.discard(1000000) < 1000000);  // the sidecar closes it
   sidecar.signal(SIGTERM);
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   CHECK_FALSE(has(sidecar.log(), "error fault"));
 }
 
-TEST_CASE("all forms are served: asked to go on, the older version, ends by the connection's end") {
+TEST_CASE("Expect: 100-continue, HTTP/1.0 and responses that end with the connection are supported") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(post("Expect: 100-continue\r\n" + length(4)));
-  CHECK(has(client.until("\r\n\r\n"), "HTTP/1.1 100 "));
-  client.say("body");
-  Peer server = sidecar.server();
-  CHECK_FALSE(has(server.message(), "Expect"));
-  server.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end");
+  client.send(post("Expect: 100-continue\r\n" + length(4)));
+  CHECK(has(client.readUntil("\r\n\r\n"), "HTTP/1.1 100 "));
+  client.send("body");
+  Peer server = sidecar.acceptServer();
+  CHECK_FALSE(has(server.readMessage(), "Expect"));
+  server.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nuntil close");
   server.close();
-  CHECK(has(client.message(), "to the end"));
+  CHECK(has(client.readMessage(), "until close"));
   std::string old = query("read");
-  client.say(old.replace(old.find("HTTP/1.1"), 8, "HTTP/1.0"));
-  server = sidecar.server();
-  server.message();
-  server.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(kPiece) + chunk(kPiece));
-  const std::string head = client.until("\r\n\r\n");
+  client.send(old.replace(old.find("HTTP/1.1"), 8, "HTTP/1.0"));
+  server = sidecar.acceptServer();
+  server.readMessage();
+  server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(kPiece) + chunk(kPiece));
+  const std::string head = client.readUntil("\r\n\r\n");
   CHECK_FALSE(has(head, "chunked"));
   CHECK(has(head, "Connection: close"));
-  server.say("0\r\n\r\n");
-  CHECK(client.swallow(1000000) == 2 * kPiece.size());
+  server.send("0\r\n\r\n");
+  CHECK(client.discard(1000000) == 2 * kPiece.size());
 }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -6,7 +6,7 @@
 #include "balancer_fixture.hpp"
 #include "handover/learned.hpp"
 #include "handover/said.hpp"
-#include "program.hpp"
+#include "sidecar_process.hpp"
 
 using namespace rackroute;
 using namespace rackroute::program;
@@ -19,27 +19,27 @@
   SocketAddress door = unusedAddress();
 
   explicit Version(Sidecar& sidecar, const std::string& folder, const std::string& name = "n0") {
-    process_.also = {{"LB_ADMIN", door.toString()}, {"TMPDIR", folder}};
-    process_.launch(R"({"name":")" + name + sidecar.form().substr(11));
+    process_.environment = {{"LB_ADMIN", door.toString()}, {"TMPDIR", folder}};
+    process_.launch(R"({"name":")" + name + sidecar.configuration().substr(11));
     for (int tries = 0; tries < 1000 && !ready(); ++tries) std::this_thread::sleep_for(10ms);
     if (ready()) return;
     process_.signal(SIGKILL);
-    process_.ended();
+    process_.waitForExit();
     FAIL("it is not ready:\n" << process_.log());
   }
   bool ready() { return has(call("GET /ops/readiness"), " 200 "); }
   std::string call(const std::string& line) {
     try {
       Peer peer{StreamSocket(door)};
-      peer.say(line + " HTTP/1.1\r\nHost: door\r\n\r\n");
-      return peer.message();
+      peer.send(line + " HTTP/1.1\r\nHost: door\r\n\r\n");
+      return peer.readMessage();
     } catch (const Poco::Net::NetException&) {
       return {};
     }
   }
   int end(int number) {
     process_.signal(number);
-    return process_.ended();
+    return process_.waitForExit();
   }
   void stop(int number) { process_.signal(number); }
   std::string log() { return process_.log(); }
@@ -50,11 +50,11 @@
 
 /// Sends one query and has it answered; what the client was told.
 std::string serve(Sidecar& sidecar, Peer& client, std::size_t* which = nullptr) {
-  client.say(query("read"));
-  Peer server = sidecar.server(which);
-  server.message();
-  server.say(served("done", "Connection: close\r\n"));
-  return client.message();
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer(which);
+  server.readMessage();
+  server.send(okResponse("done", "Connection: close\r\n"));
+  return client.readMessage();
 }
 
 struct Folder {
@@ -76,7 +76,7 @@
 
   Version after(sidecar, folder.path());
   CHECK(has(serve(sidecar, client), "Connection: close"));  // the old process had this one
-  CHECK(client.ends());
+  CHECK(client.closedByPeer());
   CHECK(before.ready());
   CHECK(has(after.call("GET /ops/stats"), "edge_lb_out_of_rotation 1\n"));
   CHECK(has(before.call("POST /ops/servers/up/s-0"), " 200 "));  // at either door, for both
@@ -115,7 +115,8 @@
 TEST_CASE("a new process that starts in the moment in which another has died takes over from the old one") {
   Folder folder;
   Sidecar sidecar;
-  sidecar.more = R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + unusedAddress().toString() + "\"}";
+  sidecar.extraConfig =
+      R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + unusedAddress().toString() + "\"}";
   Version before(sidecar, folder.path());
   const auto startOf = [](Version& version) {
     const std::string told = version.call("GET /ops/fleet");
@@ -141,7 +142,8 @@
     "a member of a fleet starts beside an old process that hangs, and takes its place once it is gone") {
   Folder folder;
   Sidecar sidecar;
-  sidecar.more = R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + unusedAddress().toString() + "\"}";
+  sidecar.extraConfig =
+      R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + unusedAddress().toString() + "\"}";
   Version before(sidecar, folder.path());
   before.stop(SIGSTOP);
   Version after(sidecar, folder.path());
@@ -160,10 +162,10 @@
   const std::string first = free();
   const std::string second = free();
   Sidecar other;
-  other.more =
+  other.extraConfig =
       R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + second + R"(","join":[")" + first + "\"]}";
   Sidecar sidecar;
-  sidecar.more = R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + first + "\"}";
+  sidecar.extraConfig = R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + first + "\"}";
   Version before(sidecar, folder.path());
   Version neighbour(other, elsewhere.path(), "n1");
   const auto seen = [&](const std::string& part) {
@@ -197,7 +199,7 @@
   Folder folder;
   Sidecar sidecar;
   const SocketAddress address = unusedAddress();
-  sidecar.more = R"(,"fleet":{"name":"f","listen":")" + address.toString() + "\"}";
+  sidecar.extraConfig = R"(,"fleet":{"name":"f","listen":")" + address.toString() + "\"}";
   Version member(sidecar, folder.path());
   Poco::Net::DatagramSocket source(SocketAddress("127.0.0.1", 0));
   std::string garbage(900, 'x');
@@ -233,9 +235,9 @@
       {R"({"name":"f","listen":"127.0.0.1:7946","jion":[]})", "fleet.jion"}};
   for (const auto& [fleet, key] : wrong) {
     Sidecar sidecar;
-    sidecar.more = ",\"fleet\":" + fleet;
-    sidecar.launch(sidecar.form());
-    CHECK(sidecar.ended() == 1);
+    sidecar.extraConfig = ",\"fleet\":" + fleet;
+    sidecar.launch(sidecar.configuration());
+    CHECK(sidecar.waitForExit() == 1);
     CHECK(has(sidecar.log(), key));
   }
 }
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,9 +1,9 @@
-// Daily operation: servers out and back by hand, the operators' door, its figures.
+// Operations: disabling and enabling servers, the admin listener and its metrics.
 
 #include <set>
 
 #include "balancer_fixture.hpp"
-#include "program.hpp"
+#include "sidecar_process.hpp"
 
 using namespace rackroute;
 
@@ -12,16 +12,16 @@
 using fixture::FakeFleet;
 using fixture::server;
 
-/// One call at the door; its answer.
-std::string call(const SocketAddress& door, const std::string& line) {
-  rackroute::program::Peer peer{StreamSocket(door)};
-  peer.say(line + " HTTP/1.1\r\nHost: door\r\n\r\n");
-  return peer.message();
+/// Sends one request to the admin listener and returns the response.
+std::string call(const SocketAddress& admin, const std::string& line) {
+  rackroute::program::Peer peer{StreamSocket(admin)};
+  peer.send(line + " HTTP/1.1\r\nHost: admin\r\n\r\n");
+  return peer.readMessage();
 }
 
 }  // namespace
 
-TEST_CASE("a server taken out by hand gets nothing, whatever the lists say, until one call puts it back") {
+TEST_CASE("a disabled server receives nothing, whatever the lists say, until it is enabled") {
   FakeFleet fleet(fixture::config());
   fleet.loadServers(3);
   fleet.countSentTo({2}, 60);
@@ -29,28 +29,27 @@
   fleet.balancer.disableServer(fleet.now, {2});
   CHECK(fleet.balancer.isExcluded(fleet.now, {2}));
   CHECK(fleet.countSentTo({2}, 100) == 0);
-  auto gone = server(2);
-  gone.lifecycle = Lifecycle::removed;
-  fleet.updateList(ServerListKind::changes, {gone});
+  auto removed = server(2);
+  removed.lifecycle = Lifecycle::removed;
+  fleet.updateList(ServerListKind::changes, {removed});
   fleet.now += 2s;
-  auto anew = server(2);
-  anew.startedAt = fleet.now;
-  fleet.updateList(ServerListKind::changes, {anew});
-  fleet.updateList(ServerListKind::complete, {server(1), anew, server(3)});
+  auto restarted = server(2);
+  restarted.startedAt = fleet.now;
+  fleet.updateList(ServerListKind::changes, {restarted});
+  fleet.updateList(ServerListKind::complete, {server(1), restarted, server(3)});
   CHECK(fleet.countSentTo({2}, 100) == 0);
   fleet.balancer.enableServer(fleet.now, {2});
   CHECK_FALSE(fleet.balancer.isExcluded(fleet.now, {2}));
-  const int first = fleet.countSentTo({2}, 100, fixture::kIdempotent);  // two seconds
-  CHECK((first > 0 && first < 25));                                     // it counts as just started
+  const int received = fleet.countSentTo({2}, 100, fixture::kIdempotent);
+  CHECK((received > 0 && received < 25));  // treated as just started
   fleet.now += 20s;
   CHECK(fleet.countSentTo({2}, 100) > 20);
 }
 
-TEST_CASE(
-    "with every server out by hand queries are turned away at once, and served again after one is back") {
+TEST_CASE("with every server disabled queries are rejected at once, and served after one is enabled") {
   FakeFleet fleet(fixture::config());
   fleet.loadServers(2);
-  fleet.countSentTo({1}, 60);  // what warm servers do must be known before a cold one gets anything
+  fleet.countSentTo({1}, 60);  // a cold server needs measurements of warm ones to receive queries
   fleet.balancer.disableServer(fleet.now, {1});
   fleet.balancer.disableServer(fleet.now, {2});
   const QueryId query = fleet.submit(fixture::kNonIdempotent);
@@ -61,7 +60,7 @@
   CHECK(fleet.countSentTo({1}, 1) == 1);
 }
 
-TEST_CASE("servers out by hand do not use up the share that may be ejected") {
+TEST_CASE("disabled servers do not count toward the share that may be ejected") {
   FakeFleet fleet(fixture::config());
   fleet.loadServers(6);
   fleet.balancer.disableServer(fleet.now, {5});
@@ -71,92 +70,94 @@
   CHECK(fleet.countSentTo({1}, 60) + fleet.countSentTo({2}, 60) == 0);
 }
 
-TEST_CASE("the door tells readiness and true figures, and takes a server out and back") {
+TEST_CASE("the admin listener reports readiness and metrics, and disables and enables servers") {
   using namespace rackroute::program;
   Sidecar sidecar;
-  const SocketAddress door = unusedAddress();
-  sidecar.also["LB_ADMIN"] = door.toString();
+  const SocketAddress admin = unusedAddress();
+  sidecar.environment["LB_ADMIN"] = admin.toString();
   sidecar.start();
-  CHECK(has(call(door, "GET /ops/readiness"), "HTTP/1.1 200 "));
-  std::string figures = call(door, "GET /ops/stats");
-  CHECK(has(figures, "edge_lb_operations{priority=\"book\",status=\"throttled\"} 0\n"));
-  CHECK(has(figures, "edge_lb_registry_entries 2\n"));
-
-  CHECK(has(call(door, "POST /ops/servers/down/s%2D0"), "HTTP/1.1 200 "));
-  CHECK(has(call(door, "POST /ops/servers/down/s-9"), "HTTP/1.1 404 "));
-  CHECK(has(call(door, "POST /ops/servers/up/s-9"), "HTTP/1.1 404 "));
-  CHECK(has(call(door, "GET /ops/servers/up/s-0"), "HTTP/1.1 405 "));
-  CHECK(has(call(door, "POST /ops/stats"), "HTTP/1.1 405 "));
-  CHECK(has(call(door, "GET /ops"), "HTTP/1.1 404 "));
-  CHECK(has(call(door, "nonsense"), "HTTP/1.1 400 "));
+  CHECK(has(call(admin, "GET /ops/readiness"), "HTTP/1.1 200 "));
+  std::string metrics = call(admin, "GET /ops/stats");
+  CHECK(has(metrics, "edge_lb_operations{priority=\"book\",status=\"throttled\"} 0\n"));
+  CHECK(has(metrics, "edge_lb_registry_entries 2\n"));
+
+  CHECK(has(call(admin, "POST /ops/servers/down/s%2D0"), "HTTP/1.1 200 "));
+  CHECK(has(call(admin, "POST /ops/servers/down/s-9"), "HTTP/1.1 404 "));
+  CHECK(has(call(admin, "POST /ops/servers/up/s-9"), "HTTP/1.1 404 "));
+  CHECK(has(call(admin, "GET /ops/servers/up/s-0"), "HTTP/1.1 405 "));
+  CHECK(has(call(admin, "POST /ops/stats"), "HTTP/1.1 405 "));
+  CHECK(has(call(admin, "GET /ops"), "HTTP/1.1 404 "));
+  CHECK(has(call(admin, "nonsense"), "HTTP/1.1 400 "));
 
   Peer client = sidecar.connect();
-  std::size_t which = 9;
-  client.say(query("read"));
-  Peer server = sidecar.server(&which);
-  CHECK(which == 1);
-  server.message();
-  CHECK(has(call(door, "GET /ops/stats"), "edge_lb_open_requests 1\n"));
-  server.say(served("done"));
-  client.message();
-  client.say(query("pay"));
-  server.message();
-  server.say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
-  CHECK(has(client.message(), "HTTP/1.1 502 "));
-  CHECK(has(call(door, "POST /ops/servers/down/s-1"), "HTTP/1.1 200 "));
-  client.say(query("pay"));
-  CHECK(has(client.message(), "HTTP/1.1 503 "));
-  client.say("GET /else HTTP/1.1\r\n\r\n");  // never a query
-  CHECK(has(client.message(), "HTTP/1.1 400 "));
-
-  figures = call(door, "GET /ops/stats");
-  CHECK(has(figures, "edge_lb_operations{priority=\"read\",status=\"fulfilled\"} 1\n"));
-  CHECK(has(figures, "edge_lb_operations{priority=\"pay\",status=\"faulted\"} 1\n"));
-  CHECK(has(figures, "edge_lb_operations{priority=\"pay\",status=\"throttled\"} 1\n"));
-  CHECK(has(figures, "edge_lb_relayed 2\n"));
-  CHECK(has(figures, "edge_lb_open_requests 0\n"));
-  CHECK(has(figures, "edge_lb_out_of_rotation 2\n"));
-  CHECK(has(call(door, "POST /ops/servers/up/s-0"), "HTTP/1.1 200 "));
-  CHECK(has(call(door, "POST /ops/servers/up/s-0"), "HTTP/1.1 200 "));
-  CHECK(has(call(door, "GET /ops/stats"), "edge_lb_out_of_rotation 1\n"));
+  std::size_t index = 9;
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer(&index);
+  CHECK(index == 1);
+  server.readMessage();
+  CHECK(has(call(admin, "GET /ops/stats"), "edge_lb_open_requests 1\n"));
+  server.send(okResponse("done"));
+  client.readMessage();
+  client.send(query("pay"));
+  server.readMessage();
+  server.send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+  CHECK(has(client.readMessage(), "HTTP/1.1 502 "));
+  CHECK(has(call(admin, "POST /ops/servers/down/s-1"), "HTTP/1.1 200 "));
+  client.send(query("pay"));
+  CHECK(has(client.readMessage(), "HTTP/1.1 503 "));
+  client.send("GET /else HTTP/1.1\r\n\r\n");  // not a valid query
+  CHECK(has(client.readMessage(), "HTTP/1.1 400 "));
+
+  metrics = call(admin, "GET /ops/stats");
+  CHECK(has(metrics, "edge_lb_operations{priority=\"read\",status=\"fulfilled\"} 1\n"));
+  CHECK(has(metrics, "edge_lb_operations{priority=\"pay\",status=\"faulted\"} 1\n"));
+  CHECK(has(metrics, "edge_lb_operations{priority=\"pay\",status=\"throttled\"} 1\n"));
+  CHECK(has(metrics, "edge_lb_relayed 2\n"));
+  CHECK(has(metrics, "edge_lb_open_requests 0\n"));
+  CHECK(has(metrics, "edge_lb_out_of_rotation 2\n"));
+  CHECK(has(call(admin, "POST /ops/servers/up/s-0"), "HTTP/1.1 200 "));
+  CHECK(has(call(admin, "POST /ops/servers/up/s-0"), "HTTP/1.1 200 "));
+  CHECK(has(call(admin, "GET /ops/stats"), "edge_lb_out_of_rotation 1\n"));
 }
 
-TEST_CASE("callers that say nothing do not keep others from the door") {
+TEST_CASE("idle connections do not block others from the admin listener") {
   using namespace rackroute::program;
   Sidecar sidecar;
-  sidecar.sockets = "128";
-  const SocketAddress door = unusedAddress();
-  sidecar.more = R"(,"admin":")" + door.toString() + '"';
+  sidecar.descriptorLimit = "128";
+  const SocketAddress admin = unusedAddress();
+  sidecar.extraConfig = R"(,"admin":")" + admin.toString() + '"';
   sidecar.start();
   std::vector<Peer> silent;
-  for (int i = 0; i < 200; ++i) silent.emplace_back(StreamSocket(i % 2 == 0 ? door : sidecar.address));
-  CHECK(has(call(door, "GET /ops/readiness"), "HTTP/1.1 200 "));
-  CHECK(silent.front().ends());
+  for (int i = 0; i < 200; ++i) silent.emplace_back(StreamSocket(i % 2 == 0 ? admin : sidecar.address));
+  CHECK(has(call(admin, "GET /ops/readiness"), "HTTP/1.1 200 "));
+  CHECK(silent.front().closedByPeer());
 }
 
-TEST_CASE("a fleet that starts together asks discovery one after the other; alone, or taking over, at once") {
-  BalancerConfig many = fixture::config();
-  many.discoveryOnRequest = true;
-  many.balancerCount = 48;
-  std::set<Span> moments;
-  for (many.seed = 1; many.seed <= 20; ++many.seed) {
-    FakeFleet fleet(many);
+TEST_CASE(
+    "balancers that start together stagger their discovery calls; a single one or a successor calls at "
+    "once") {
+  BalancerConfig config = fixture::config();
+  config.discoveryOnRequest = true;
+  config.balancerCount = 48;
+  std::set<Span> delays;
+  for (config.seed = 1; config.seed <= 20; ++config.seed) {
+    FakeFleet fleet(config);
     CHECK(fleet.watchCalls == 0);
     REQUIRE(fleet.wakeTimes.size() == 1);
     CHECK(fleet.wakeTimes.front() <= 5s);
-    moments.insert(fleet.wakeTimes.front());
+    delays.insert(fleet.wakeTimes.front());
     fleet.now = fleet.wakeTimes.front();
     fleet.balancer.wake(fleet.now);
     CHECK(fleet.watchCalls == 1);
-    fleet.balancer.discoveryFailed(fleet.now);  // and its repeats don't fall together either
+    fleet.balancer.discoveryFailed(fleet.now);  // retries are staggered too
     CHECK(fleet.wakeTimes.back() - fleet.now < 10s);
-    moments.insert(fleet.wakeTimes.back() - fleet.now);
+    delays.insert(fleet.wakeTimes.back() - fleet.now);
   }
-  CHECK(moments.size() > 36);
-  FakeFleet successor(many);
+  CHECK(delays.size() > 36);
+  FakeFleet successor(config);
   successor.loadServers(3);
   successor.balancer.restore(successor.now, {});
-  CHECK(successor.wakeTimes.back() <= successor.now + many.tick);
-  many.balancerCount = 1;
-  CHECK(FakeFleet(many).watchCalls == 1);
+  CHECK(successor.wakeTimes.back() <= successor.now + config.tick);
+  config.balancerCount = 1;
+  CHECK(FakeFleet(config).watchCalls == 1);
 }
--- a/tests/program.hpp
+++ b/tests/sidecar_process.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// The whole program as a process of its own; its application, servers and discovery are stand-ins played by
-// hand on loopback sockets.
+// Runs the sidecar as a child process. The tests play its clients, servers and discovery service by hand on
+// loopback sockets.
 
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/ServerSocket.h>
@@ -32,11 +32,10 @@
 
 namespace rackroute::program {
 
-inline const Poco::Timespan kPatience(20, 0);  // far more than anything here takes, also with sanitizers
+inline const Poco::Timespan kTimeout(20, 0);  // also sufficient with sanitizers
 
-/// An address that nothing listens at. It is on a loopback address of this test process's own: guards against
-/// other tests, side by side, whose outgoing connections take the port between this look and the program's
-/// start.
+/// An unused address. It is on a loopback address specific to this test process, so that outgoing connections
+/// of tests running in parallel cannot take the port before the program binds it.
 inline SocketAddress unusedAddress() {
   const auto id = static_cast<unsigned>(::getpid());
   const std::string own =
@@ -44,51 +43,52 @@
   return ServerSocket(SocketAddress(own, 0)).address();
 }
 
-/// The other end of one of the sidecar's connections.
+/// The remote end of one of the sidecar's connections.
 class Peer {
  public:
-  explicit Peer(const StreamSocket& socket) : socket_(socket) { socket_.setReceiveTimeout(kPatience); }
-  void say(const std::string& text) { socket_.sendBytes(text.data(), static_cast<int>(text.size())); }
-  /// Everything up to this text and with it; fails if it does not come.
-  std::string until(const std::string& end) {
-    while (in_.find(end) == std::string::npos) REQUIRE(more());
-    return cut(in_.find(end) + end.size());
-  }
-  /// One whole message, by its length.
-  std::string message() {
-    std::string head = until("\r\n\r\n");
+  explicit Peer(const StreamSocket& socket) : socket_(socket) { socket_.setReceiveTimeout(kTimeout); }
+  void send(const std::string& text) { socket_.sendBytes(text.data(), static_cast<int>(text.size())); }
+  /// Reads up to and including this text; fails if it does not arrive.
+  std::string readUntil(const std::string& end) {
+    while (in_.find(end) == std::string::npos) REQUIRE(receiveMore());
+    return takeInput(in_.find(end) + end.size());
+  }
+  /// Reads one message with Content-Length.
+  std::string readMessage() {
+    std::string head = readUntil("\r\n\r\n");
     const std::size_t at = head.find("Content-Length: ");
     const std::size_t size = at == std::string::npos ? 0 : std::stoul(head.substr(at + 16));
-    while (in_.size() < size) REQUIRE(more());
-    return head + cut(size);
+    while (in_.size() < size) REQUIRE(receiveMore());
+    return head + takeInput(size);
   }
-  /// Takes so many bytes and forgets them; how many came before the end.
-  std::size_t swallow(std::size_t size) {
+  /// Reads and discards so many bytes; returns how many arrived before the connection ended.
+  std::size_t discard(std::size_t size) {
     std::size_t all = in_.size();
     in_.clear();
     try {
-      while (all < size && more()) all += std::exchange(in_, {}).size();
+      while (all < size && receiveMore()) all += std::exchange(in_, {}).size();
     } catch (const Poco::Net::NetException&) {
     }
     return all;
   }
-  /// Sends until no more is taken for a while; how much was.
-  std::size_t push(const std::string& text, std::size_t most) {
+  /// Sends until the peer accepts no more for a while; returns the number of bytes sent.
+  std::size_t sendUntilBlocked(const std::string& text, std::size_t limit) {
     std::size_t all = 0;
-    while (all < most && socket_.poll(Poco::Timespan(0, 700000), StreamSocket::SELECT_WRITE))
+    while (all < limit && socket_.poll(Poco::Timespan(0, 700000), StreamSocket::SELECT_WRITE))
       all += static_cast<std::size_t>(
           socket_.sendBytes(text.data(), static_cast<int>(text.size()), MSG_DONTWAIT));
     return all;
   }
-  /// Whether the sidecar ends it, saying nothing more.
-  bool ends() {
+  /// Whether the sidecar closes the connection without sending more.
+  bool closedByPeer() {
     try {
-      return in_.empty() && !more();
+      return in_.empty() && !receiveMore();
     } catch (const Poco::Net::NetException&) {
       return true;
     }
   }
-  [[nodiscard]] bool quiet() {
+  /// Whether nothing arrives for a short while.
+  [[nodiscard]] bool staysSilent() {
     return in_.empty() && !socket_.poll(Poco::Timespan(0, 200000), StreamSocket::SELECT_READ);
   }
   void close() { socket_.close(); }
@@ -98,13 +98,13 @@
   }
 
  private:
-  bool more() {
+  bool receiveMore() {
     char bytes[4096];
     const int size = socket_.receiveBytes(bytes, sizeof bytes);
     if (size > 0) in_.append(bytes, static_cast<std::size_t>(size));
     return size > 0;
   }
-  std::string cut(std::size_t size) {
+  std::string takeInput(std::size_t size) {
     std::string first = in_.substr(0, size);
     in_.erase(0, size);
     return first;
@@ -114,11 +114,12 @@
 };
 
 inline Peer accept(ServerSocket& listener) {
-  REQUIRE(listener.poll(kPatience, StreamSocket::SELECT_READ));
+  REQUIRE(listener.poll(kTimeout, StreamSocket::SELECT_READ));
   return Peer(listener.acceptConnection());
 }
 
-inline std::string entry(const std::string& name, const ServerSocket& at, const std::string& status = "up") {
+inline std::string endpointEntry(const std::string& name, const ServerSocket& at,
+                                 const std::string& status = "up") {
   return R"({"name":")" + name + R"(","address":")" + at.address().toString() +
          R"(","zone":"a","type":"m","group":0,"status":")" + status + R"(","weight":1.0,"since_ms":0})";
 }
@@ -129,15 +130,16 @@
   return size.str() + "\r\n" + data + "\r\n";
 }
 
+/// The sidecar process with its servers, discovery service and configuration.
 class Sidecar {
  public:
   ServerSocket discovery{SocketAddress("127.0.0.1", 0)};
   std::vector<ServerSocket> servers;
   SocketAddress address = unusedAddress();
   std::string bounds = R"("conn_idle_ms":60000)";
-  std::string sockets = "256";
-  std::string more;         // of the configuration
-  Poco::Process::Env also;  // of the environment
+  std::string descriptorLimit = "256";
+  std::string extraConfig;  // appended to the configuration
+  Poco::Process::Env environment;
 
   explicit Sidecar(std::size_t count = 2) {
     for (std::size_t i = 0; i < count; ++i) servers.emplace_back(SocketAddress("127.0.0.1", 0));
@@ -145,61 +147,62 @@
   ~Sidecar() {
     if (!process_) return;
     signal(SIGKILL);
-    ended();
+    waitForExit();
   }
-  std::string form() {
+  std::string configuration() {
     std::string list;
     for (std::size_t i = 0; i < servers.size(); ++i)
-      list.append(i == 0 ? "" : ",").append(entry(std::string("s-").append(std::to_string(i)), servers[i]));
+      list.append(i == 0 ? "" : ",")
+          .append(endpointEntry(std::string("s-").append(std::to_string(i)), servers[i]));
     return R"({"name":"n0","listen":")" + address.toString() + R"(","discovery":")" +
-           discovery.address().toString() + R"(","seed":"8c1f30d27a5be964","limits":{"sockets":)" + sockets +
-           R"(},"known":{"index":41,"snapshot":true,"endpoints":[)" + list +
+           discovery.address().toString() + R"(","seed":"8c1f30d27a5be964","limits":{"sockets":)" +
+           descriptorLimit + R"(},"known":{"index":41,"snapshot":true,"endpoints":[)" + list +
            R"(]},"settings":{"locality":"a","granularity_ms":5.0,"registry_mode":"on_request","use_cases":[
            {"name":"read","effect":"retryable","group":"all","slo_time_ms":400.0},
            {"name":"pay","effect":"fragile","group":"all","slo_time_ms":400.0},
            {"name":"book","effect":"dedup","group":"zone","window_ms":2000.0,"slo_time_ms":400.0}],
            "bounds":{"max_executions":4,"dial_timeout_ms":250.0,"retry_after":true,"max_retry_after_ms":1500.0,)" +
-           bounds + R"(},"rules":{"drain_grace_ms":500.0}})" + more + "}";
+           bounds + R"(},"rules":{"drain_grace_ms":500.0}})" + extraConfig + "}";
   }
-  void tell(const std::string& form) { std::ofstream(file_.path()) << form; }
-  void launch(const std::string& form, bool told = true) {
-    tell(form);
-    Poco::Process::Env env = also;
-    env["LB_CONFIG"] = told ? file_.path() : "";
+  void writeConfig(const std::string& config) { std::ofstream(file_.path()) << config; }
+  void launch(const std::string& config, bool setVariable = true) {
+    writeConfig(config);
+    Poco::Process::Env env = environment;
+    env["LB_CONFIG"] = setVariable ? file_.path() : "";
     env["RACKROUTE_LOG"] = "debug";
     process_ = Poco::Process::launch(RACKROUTE_PROGRAM, {}, nullptr, nullptr, &errors_, env);
   }
-  Sidecar& start() { return start(form()); }
-  Sidecar& start(const std::string& form) {
-    launch(form);
+  Sidecar& start() { return start(configuration()); }
+  Sidecar& start(const std::string& config) {
+    launch(config);
     for (int tries = 0; tries < 400; ++tries) {
       std::this_thread::sleep_for(20ms);
       try {
         Peer client = connect();
-        client.say("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
-        REQUIRE(client.message().find("HTTP/1.1 200 ") == 0);
+        client.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
+        REQUIRE(client.readMessage().find("HTTP/1.1 200 ") == 0);
         return *this;
       } catch (const Poco::Net::NetException&) {
         continue;  // not yet listening
       }
     }
-    FAIL("it never served");
+    FAIL("the sidecar did not start serving");
     return *this;
   }
   Peer connect() { return Peer(StreamSocket(address)); }
-  /// The next connection to any server, and which.
-  Peer server(std::size_t* which = nullptr) {
+  /// Accepts the next connection to any server; `index` receives which.
+  Peer acceptServer(std::size_t* index = nullptr) {
     for (int tries = 0; tries < 4000; ++tries) {
       for (std::size_t i = 0; i < servers.size(); ++i) {
         if (!servers[i].poll(Poco::Timespan(0, 2000), StreamSocket::SELECT_READ)) continue;
-        if (which != nullptr) *which = i;
+        if (index != nullptr) *index = i;
         return Peer(servers[i].acceptConnection());
       }
     }
-    FAIL("no server was dialled");
+    FAIL("the sidecar connected to no server");
     return connect();
   }
-  bool nobodyDialled() {
+  bool noServerDialled() {
     std::this_thread::sleep_for(100ms);
     for (ServerSocket& server : servers) {
       if (server.poll(Poco::Timespan(0), StreamSocket::SELECT_READ)) return false;
@@ -207,8 +210,8 @@
     return true;
   }
   void signal(int number) { ::kill(process_->id(), number); }
-  /// Its exit code; it gets 20 s to end.
-  int ended() {
+  /// Returns the exit code, or -1 if the process does not exit by itself within 20 s.
+  int waitForExit() {
     const int id = std::exchange(process_, std::nullopt)->id();
     int status = 0;
     for (int tries = 0; tries < 1000; ++tries) {
@@ -219,7 +222,7 @@
     ::waitpid(id, &status, 0);
     return -1;
   }
-  /// All that it logged; to be asked once, after its end.
+  /// The complete log; may be called once, after the process has exited.
   std::string log() {
     errors_.close(Poco::Pipe::CLOSE_WRITE);
     Poco::PipeInputStream stream(errors_);
@@ -241,7 +244,7 @@
   return useCase == "read" ? "GET " + head + "\r\n" : "POST " + head + "Content-Length: 4\r\n\r\nbody";
 }
 
-inline std::string served(const std::string& body, const std::string& fields = "") {
+inline std::string okResponse(const std::string& body, const std::string& fields = "") {
   return "HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
          body;
 }
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -1,17 +1,16 @@
-// Stories of the whole program: it runs as a process of its own, its application, servers and discovery are
-// stand-ins played by hand on loopback sockets.
+// End-to-end tests of the sidecar process against hand-played clients, servers and discovery.
 
-#include "program.hpp"
+#include "sidecar_process.hpp"
 
 using namespace rackroute::program;
 
-TEST_CASE("a query goes to a server as it came, its answer comes back unchanged, connections serve again") {
+TEST_CASE("a query is forwarded unchanged, its response returned unchanged, and connections are reused") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(query("book", "Idempotency-Key: 5c0f\r\n"));
-  Peer server = sidecar.server();
-  const std::string sent = server.message();
+  client.send(query("book", "Idempotency-Key: 5c0f\r\n"));
+  Peer server = sidecar.acceptServer();
+  const std::string sent = server.readMessage();
   CHECK(sent.find("POST /book/7f3a9c21e0b4d655 HTTP/1.1\r\n") == 0);
   CHECK(has(sent, "X-Request-Id: 9b1f"));
   CHECK(has(sent, "Idempotency-Key: 5c0f\r\n"));
@@ -19,57 +18,57 @@
   const int left = std::stoi(sent.substr(sent.find("X-Deadline-Ms: ") + 15));
   CHECK((left > 0 && left <= 2000));
   const std::string body("a\0b\r\n\r\n", 7);
-  server.say(served(body, "X-Load: {\"busy\":oops\r\n"));
-  const std::string answer = client.message();
+  server.send(okResponse(body, "X-Load: {\"busy\":oops\r\n"));
+  const std::string answer = client.readMessage();
   CHECK(answer.find("HTTP/1.1 200 ") == 0);
   CHECK(answer.substr(answer.size() - 7) == body);
-  client.say(query("read"));
-  CHECK(has(server.message(), "GET /read/"));
-  server.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("on") + chunk("e") +
-             "0\r\n\r\n");
-  CHECK(has(client.message(), "Content-Length: 3\r\n\r\none"));
+  client.send(query("read"));
+  CHECK(has(server.readMessage(), "GET /read/"));
+  server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("on") + chunk("e") +
+              "0\r\n\r\n");
+  CHECK(has(client.readMessage(), "Content-Length: 3\r\n\r\none"));
 }
 
-TEST_CASE("an answer longer than any query comes back whole, and its connection serves again") {
+TEST_CASE("a response longer than any query is returned complete, and its connection reused") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(query("pay"));
-  Peer server = sidecar.server();
-  server.message();
+  client.send(query("pay"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
   const std::string body(300000, 'x');
-  server.say(served(body));
-  CHECK(has(client.message(), body));
-  client.say(query("pay"));
-  server.message();
-  server.say(served("next"));
-  CHECK(has(client.message(), "next"));
+  server.send(okResponse(body));
+  CHECK(has(client.readMessage(), body));
+  client.send(query("pay"));
+  server.readMessage();
+  server.send(okResponse("next"));
+  CHECK(has(client.readMessage(), "next"));
 }
 
-TEST_CASE("a service time is read under the settings' name, and open connections leave the loop at rest") {
+TEST_CASE("the service time is read from the load report, and idle connections do not keep the loop busy") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer watch = accept(sidecar.discovery);
   Peer client = sidecar.connect();
-  client.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
-  server.say(served("done", "X-Load: {\"busy\":0.3,\"lat_ms\":96.153}\r\n"));
-  CHECK_FALSE(has(client.message(), "X-Load"));
-  std::this_thread::sleep_for(500ms);  // a loop that polls for writing in vain turns some 20,000 times
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  server.send(okResponse("done", "X-Load: {\"busy\":0.3,\"lat_ms\":96.153}\r\n"));
+  CHECK_FALSE(has(client.readMessage(), "X-Load"));
+  std::this_thread::sleep_for(500ms);  // a busy loop would turn some 20,000 times
   sidecar.signal(SIGTERM);
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   const std::string log = sidecar.log();
   CHECK(has(log, "service_us=96153"));
   CHECK(std::stoi(log.substr(log.find(" turns=") + 7)) < 1000);
 }
 
-TEST_CASE("what never ran goes out again, what may have run does not") {
+TEST_CASE("an execution that never ran is retried, one that may have run is not") {
   struct Case {
-    std::string says;
+    std::string response;
     bool ran;
   };
-  const Case now =
+  const Case sample =
       GENERATE(Case{"HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", false},
                Case{"HTTP/1.1 504 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", false},
                Case{"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", true},
@@ -78,116 +77,117 @@
                Case{"HTTP/1.1 302 x\r\nContent-Length: 0\r\n\r\n", true}, Case{"nonsense\r\n\r\n", true},
                Case{"HTTP/1.1 200 x\r\nContent-Length: 3000000000\r\n\r\n", true},
                Case{"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf", true}, Case{"", true});
-  CAPTURE(now.says);
+  CAPTURE(sample.response);
   Sidecar sidecar;
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(query("pay"));
-  Peer server = sidecar.server();
-  server.message();
-  if (!now.says.empty()) server.say(now.says);
-  if (now.says.empty() || has(now.says, "half")) server.reset();
-  if (now.ran) {
-    CHECK(client.message().find("HTTP/1.1 502 ") == 0);
-    CHECK(sidecar.nobodyDialled());
+  client.send(query("pay"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  if (!sample.response.empty()) server.send(sample.response);
+  if (sample.response.empty() || has(sample.response, "half")) server.reset();
+  if (sample.ran) {
+    CHECK(client.readMessage().find("HTTP/1.1 502 ") == 0);
+    CHECK(sidecar.noServerDialled());
   } else {
-    Peer other = sidecar.server();
-    other.message();
-    other.say(served("done"));
-    CHECK(has(client.message(), "done"));
+    Peer other = sidecar.acceptServer();
+    other.readMessage();
+    other.send(okResponse("done"));
+    CHECK(has(client.readMessage(), "done"));
   }
-  if (has(now.says, "302") || has(now.says, "nonsense") || has(now.says, "3000000000")) CHECK(server.ends());
+  if (has(sample.response, "302") || has(sample.response, "nonsense") || has(sample.response, "3000000000"))
+    CHECK(server.closedByPeer());
 }
 
-TEST_CASE("a refused connection never ran: the query goes to the other server") {
+TEST_CASE("after a refused connection the query goes to the other server") {
   Sidecar sidecar;
-  const std::string form = sidecar.form();
+  const std::string config = sidecar.configuration();
   sidecar.start();
   sidecar.servers.erase(sidecar.servers.begin());  // its listener closes
   for (int i = 0; i < 6; ++i) {
     Peer client = sidecar.connect();
-    client.say(query("pay"));
-    Peer server = sidecar.server();
-    server.message();
-    server.say(served("done", "Connection: close\r\n"));
-    CHECK(has(client.message(), "done"));
-    CHECK(server.ends());
+    client.send(query("pay"));
+    Peer server = sidecar.acceptServer();
+    server.readMessage();
+    server.send(okResponse("done", "Connection: close\r\n"));
+    CHECK(has(client.readMessage(), "done"));
+    CHECK(server.closedByPeer());
   }
 }
 
-TEST_CASE("a connection that never comes up never ran: the query goes to the other server") {
+TEST_CASE("after a connect timeout the query goes to the other server") {
   Sidecar sidecar;
-  ServerSocket full;  // its queue of connections is full and nobody accepts them
+  ServerSocket full;  // its accept queue is full
   full.bind(SocketAddress("127.0.0.1", 0));
   full.listen(0);
   std::vector<StreamSocket> queued(3);
-  for (StreamSocket& one : queued) one.connectNB(full.address());
+  for (StreamSocket& socket : queued) socket.connectNB(full.address());
   sidecar.servers[0] = full;
   sidecar.start();
   sidecar.servers.erase(sidecar.servers.begin());
   for (int i = 0; i < 8; ++i) {
     Peer client = sidecar.connect();
-    client.say(query("pay"));
-    Peer server = sidecar.server();
-    server.message();
-    server.say(served("done", "Connection: close\r\n"));
-    CHECK(has(client.message(), "done"));
+    client.send(query("pay"));
+    Peer server = sidecar.acceptServer();
+    server.readMessage();
+    server.send(okResponse("done", "Connection: close\r\n"));
+    CHECK(has(client.readMessage(), "done"));
   }
   sidecar.signal(SIGTERM);
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   CHECK(has(sidecar.log(), "reason=dial_timeout"));
 }
 
-TEST_CASE("a half answer is not passed on; one that may run again is served by the other server") {
+TEST_CASE("an incomplete response is not passed on, and an idempotent query is retried on the other server") {
   Sidecar sidecar;
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
-  server.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  server.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
   server.close();
-  Peer other = sidecar.server();
-  other.message();
-  other.say(served("whole"));
-  const std::string answer = client.message();
-  CHECK(has(answer, "whole"));
+  Peer other = sidecar.acceptServer();
+  other.readMessage();
+  other.send(okResponse("complete"));
+  const std::string answer = client.readMessage();
+  CHECK(has(answer, "complete"));
   CHECK_FALSE(has(answer, "half"));
 }
 
-TEST_CASE("silence ends at the statement timeout: one answer, and the connection goes") {
+TEST_CASE("a silent server ends at the execution timeout with one response, and its connection is closed") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(query("pay", "", "300"));
-  Peer server = sidecar.server();
-  server.message();
-  CHECK(client.message().find("HTTP/1.1 502 ") == 0);
-  CHECK(server.ends());
-  CHECK(client.quiet());
+  client.send(query("pay", "", "300"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  CHECK(client.readMessage().find("HTTP/1.1 502 ") == 0);
+  CHECK(server.closedByPeer());
+  CHECK(client.staysSilent());
 }
 
-TEST_CASE("a client that leaves gets nothing, and its server connection serves the next") {
+TEST_CASE("a late response to a client that left is dropped, and its server connection reused") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
   client.close();
   std::this_thread::sleep_for(50ms);
-  server.say(served("late"));
+  server.send(okResponse("late"));
   std::this_thread::sleep_for(50ms);
   Peer next = sidecar.connect();
-  next.say(query("read"));
-  server.message();
-  server.say(served("fresh"));
-  const std::string answer = next.message();
+  next.send(query("read"));
+  server.readMessage();
+  server.send(okResponse("fresh"));
+  const std::string answer = next.readMessage();
   CHECK(has(answer, "fresh"));
   CHECK_FALSE(has(answer, "late"));
 }
 
-TEST_CASE("a bad query is answered, ends its connection, and reaches no server") {
+TEST_CASE("an invalid query is answered with an error, closes its connection and reaches no server") {
   const std::string line = "GET /read/1 HTTP/1.1\r\n";
   const std::string id = "X-Request-Id: 1\r\n";
   const std::string rest = "X-Deadline-Ms: 500\r\nContent-Length: 0\r\n\r\n";
@@ -218,363 +218,364 @@
   Sidecar sidecar;
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(text);
-  const std::string answer = client.message();
+  client.send(text);
+  const std::string answer = client.readMessage();
   CHECK(answer.find("HTTP/1.1 " + status + ' ') == 0);
   CHECK(has(answer, "Connection: close\r\n"));
-  CHECK(client.ends());
-  CHECK(sidecar.nobodyDialled());
+  CHECK(client.closedByPeer());
+  CHECK(sidecar.noServerDialled());
   sidecar.signal(SIGTERM);
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   const std::string log = sidecar.log();
   const std::size_t at = log.find("reason=bad_message");
   CHECK(at != std::string::npos);
   CHECK(log.find("reason=bad_message", at + 1) == std::string::npos);
 }
 
-TEST_CASE("a client that stalls in the middle of a query holds up nobody") {
+TEST_CASE("a client that stalls in the middle of a query does not delay others") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer stalled = sidecar.connect();
   const std::string slow = query("read");
-  stalled.say(slow.substr(0, 90));
+  stalled.send(slow.substr(0, 90));
   Peer client = sidecar.connect();
-  client.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
-  server.say(served("on"));
-  CHECK(has(client.message(), "on"));
-  stalled.say(slow.substr(90));
-  server.message();
-  server.say(served("at last"));
-  CHECK(has(stalled.message(), "at last"));
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  server.send(okResponse("on"));
+  CHECK(has(client.readMessage(), "on"));
+  stalled.send(slow.substr(90));
+  server.readMessage();
+  server.send(okResponse("at last"));
+  CHECK(has(stalled.readMessage(), "at last"));
 }
 
-TEST_CASE("connections that ask nothing, or never all of it, or no more, end by themselves") {
+TEST_CASE("connections without a query, with an incomplete one or without another one time out") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer silent = sidecar.connect();
   Peer half = sidecar.connect();
-  half.say(query("read").substr(0, 90));
+  half.send(query("read").substr(0, 90));
   Peer once = sidecar.connect();
-  once.say("GET /up HTTP/1.1\r\n\r\n");
-  once.message();
-  CHECK(silent.ends());
-  CHECK(once.ends());
-  CHECK(half.message().find("HTTP/1.1 408 ") == 0);
-  CHECK(half.ends());
+  once.send("GET /up HTTP/1.1\r\n\r\n");
+  once.readMessage();
+  CHECK(silent.closedByPeer());
+  CHECK(once.closedByPeer());
+  CHECK(half.readMessage().find("HTTP/1.1 408 ") == 0);
+  CHECK(half.closedByPeer());
 }
 
-TEST_CASE("hundreds of connections that say nothing leave room for queries and their executions") {
+TEST_CASE("hundreds of idle connections leave descriptors for queries and their executions") {
   Sidecar sidecar(1);
-  sidecar.sockets = "64";
+  sidecar.descriptorLimit = "64";
   sidecar.start();
   std::vector<Peer> silent;
   for (int i = 0; i < 200; ++i) silent.push_back(sidecar.connect());
   for (int i = 0; i < 8; ++i) {
     Peer client = sidecar.connect();
-    client.say(query("pay"));
-    Peer server = sidecar.server();
-    server.message();
-    server.say(served("done", "Connection: close\r\n"));
-    CHECK(has(client.message(), "done"));
+    client.send(query("pay"));
+    Peer server = sidecar.acceptServer();
+    server.readMessage();
+    server.send(okResponse("done", "Connection: close\r\n"));
+    CHECK(has(client.readMessage(), "done"));
     for (int more = 0; more < 20; ++more) silent.push_back(sidecar.connect());
   }
   sidecar.signal(SIGTERM);
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   CHECK(has(sidecar.log(), " out_of_descriptors=0 "));
 }
 
-TEST_CASE("those that ask once and stay are ended with their answer in a crowd, steady ones are not") {
+TEST_CASE("one-off connections are closed with their response when many are open, reused ones are not") {
   Sidecar sidecar(1);
-  sidecar.sockets = "64";
+  sidecar.descriptorLimit = "64";
   sidecar.start();
-  Peer steady = sidecar.connect();
+  Peer reused = sidecar.connect();
   Peer server = [&] {
-    steady.say(query("read"));
-    return sidecar.server();
+    reused.send(query("read"));
+    return sidecar.acceptServer();
   }();
   const auto ask = [&](Peer& client) {
-    client.say(query("read"));
-    server.message();
-    server.say(served("done"));
-    return client.message();
+    client.send(query("read"));
+    server.readMessage();
+    server.send(okResponse("done"));
+    return client.readMessage();
   };
-  server.message();
-  server.say(served("done"));
-  CHECK_FALSE(has(steady.message(), "Connection: close"));
+  server.readMessage();
+  server.send(okResponse("done"));
+  CHECK_FALSE(has(reused.readMessage(), "Connection: close"));
   std::vector<Peer> checks;
   int ended = 0;
   for (int i = 0; i < 24; ++i) {
     checks.push_back(sidecar.connect());
-    checks.back().say("GET /up HTTP/1.1\r\n\r\n");
-    const std::string answer = checks.back().message();
+    checks.back().send("GET /up HTTP/1.1\r\n\r\n");
+    const std::string answer = checks.back().readMessage();
     CHECK(has(answer, "200 OK"));
     if (has(answer, "Connection: close")) ++ended;
   }
-  CHECK(ended == 17);  // a quarter of the application's 32 are kept: seven checks beside the steady one
-  CHECK_FALSE(has(ask(steady), "Connection: close"));
-  CHECK_FALSE(has(ask(steady), "Connection: close"));
+  CHECK(ended == 17);  // a quarter of the clients' 32 connections is kept: seven checks and the reused one
+  CHECK_FALSE(has(ask(reused), "Connection: close"));
+  CHECK_FALSE(has(ask(reused), "Connection: close"));
   sidecar.signal(SIGTERM);
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   CHECK(has(sidecar.log(), "reason=crowded"));
 }
 
-TEST_CASE("a query that no client may send ends with a 4xx and says nothing of servers") {
+TEST_CASE("an invalid query ends with a 4xx and does not count against servers") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer client = sidecar.connect();
   const std::string sent = query("read");
-  client.say(sent);
-  Peer server = sidecar.server();
-  server.message();
-  Peer copy = sidecar.connect();  // its id is in flight
-  copy.say(sent);
-  CHECK(copy.message().find("HTTP/1.1 400 ") == 0);
-  CHECK(copy.ends());
-  Peer hasty = sidecar.connect();  // two at once
-  hasty.say(query("read") + query("read"));
-  CHECK(hasty.message().find("HTTP/1.1 400 ") == 0);
-  CHECK(hasty.ends());
-  CHECK(sidecar.nobodyDialled());
-  server.say("HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n");
-  CHECK(client.message().find("HTTP/1.1 400 ") == 0);
-  for (int i = 0; i < 3; ++i) {  // three errors in a row would keep the use case away from it
+  client.send(sent);
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  Peer copy = sidecar.connect();  // duplicate of an id in flight
+  copy.send(sent);
+  CHECK(copy.readMessage().find("HTTP/1.1 400 ") == 0);
+  CHECK(copy.closedByPeer());
+  Peer pipelined = sidecar.connect();
+  pipelined.send(query("read") + query("read"));
+  CHECK(pipelined.readMessage().find("HTTP/1.1 400 ") == 0);
+  CHECK(pipelined.closedByPeer());
+  CHECK(sidecar.noServerDialled());
+  server.send("HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n");
+  CHECK(client.readMessage().find("HTTP/1.1 400 ") == 0);
+  for (int i = 0; i < 3; ++i) {  // three errors in a row would eject the server for this use case
     Peer next = sidecar.connect();
-    next.say(query("read"));
-    server.message();
-    server.say("HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n");
-    CHECK(next.message().find("HTTP/1.1 400 ") == 0);
+    next.send(query("read"));
+    server.readMessage();
+    server.send("HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n");
+    CHECK(next.readMessage().find("HTTP/1.1 400 ") == 0);
   }
   Peer good = sidecar.connect();
-  good.say(query("read"));
-  server.message();
-  server.say(served("good"));
-  CHECK(has(good.message(), "good"));
-  good.say(query("pay"));
-  server.message();
-  good.say(query("pay"));  // before its answer
-  CHECK(good.ends());
+  good.send(query("read"));
+  server.readMessage();
+  server.send(okResponse("good"));
+  CHECK(has(good.readMessage(), "good"));
+  good.send(query("pay"));
+  server.readMessage();
+  good.send(query("pay"));  // before its response
+  CHECK(good.closedByPeer());
 }
 
-TEST_CASE("a connection that the server closed while idle is not used again") {
+TEST_CASE("a connection that the server closed while idle is not reused") {
   Sidecar sidecar(1);
   sidecar.start();
   for (int i = 0; i < 3; ++i) {
     Peer client = sidecar.connect();
-    client.say(query("pay"));
-    Peer server = sidecar.server();
-    server.message();
-    server.say(served("done"));
-    CHECK(has(client.message(), "done"));
+    client.send(query("pay"));
+    Peer server = sidecar.acceptServer();
+    server.readMessage();
+    server.send(okResponse("done"));
+    CHECK(has(client.readMessage(), "done"));
     server.close();
   }
 }
 
-TEST_CASE("an idle connection is closed before the server's own limit") {
+TEST_CASE("an idle connection is closed before the server's own timeout") {
   Sidecar sidecar(1);
   sidecar.bounds = R"("conn_idle_ms":400)";
   sidecar.start();
   Peer client = sidecar.connect();
-  client.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
-  server.say(served("done"));
-  client.message();
-  CHECK(server.ends());
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  server.send(okResponse("done"));
+  client.readMessage();
+  CHECK(server.closedByPeer());
 }
 
-TEST_CASE(
-    "a watch's lines count wherever they are split, a bad one counts as a failure, and it is asked anew") {
+TEST_CASE("watch lines are parsed wherever they are split, and a malformed one restarts the watch") {
   Sidecar sidecar(2);
   ServerSocket hidden = sidecar.servers[1];
   sidecar.servers.pop_back();
   sidecar.start();
   Peer watch = accept(sidecar.discovery);
-  CHECK(has(watch.until("\r\n\r\n"), "GET /discovery/hosts?watch=1&after=41 HTTP/1.1\r\n"));
-  watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n"));
-  const std::string news = R"({"index":42,"snapshot":false,"endpoints":[)" +
-                           entry("s-0", sidecar.servers[0], "draining") + "," + entry("s-new", hidden) +
-                           "]}\n";
-  for (const char byte : news) watch.say(chunk(std::string(1, byte)));
+  CHECK(has(watch.readUntil("\r\n\r\n"), "GET /discovery/hosts?watch=1&after=41 HTTP/1.1\r\n"));
+  watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n"));
+  const std::string update = R"({"index":42,"snapshot":false,"endpoints":[)" +
+                             endpointEntry("s-0", sidecar.servers[0], "draining") + "," +
+                             endpointEntry("s-new", hidden) + "]}\n";
+  for (const char byte : update) watch.send(chunk(std::string(1, byte)));
   std::this_thread::sleep_for(100ms);
   Peer client = sidecar.connect();
-  client.say(query("pay"));
+  client.send(query("pay"));
   Peer server = accept(hidden);
-  server.message();
-  server.say(served("new"));
-  CHECK(has(client.message(), "new"));
+  server.readMessage();
+  server.send(okResponse("new"));
+  CHECK(has(client.readMessage(), "new"));
 
-  watch.say(chunk(R"({"index":43,"snapshot":true,"endpoints":[{"name":"s-0","status":"odd"}]})"
-                  "\n"));
-  CHECK(watch.ends());
+  watch.send(chunk(R"({"index":43,"snapshot":true,"endpoints":[{"name":"s-0","status":"odd"}]})"
+                   "\n"));
+  CHECK(watch.closedByPeer());
   Peer again = accept(sidecar.discovery);
-  CHECK(has(again.until("\r\n\r\n"), "after=42"));
-  again.say("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+  CHECK(has(again.readUntil("\r\n\r\n"), "after=42"));
+  again.send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
   Peer third = accept(sidecar.discovery);
-  third.until("\r\n\r\n");
-  client.say(query("pay"));  // the held list stays
-  server.message();
-  server.say(served("held"));
-  CHECK(has(client.message(), "held"));
+  third.readUntil("\r\n\r\n");
+  client.send(query("pay"));  // the last valid list stays in use
+  server.readMessage();
+  server.send(okResponse("held"));
+  CHECK(has(client.readMessage(), "held"));
 }
 
-TEST_CASE("a doubted list is asked for again, and a known name's new address is honoured") {
+TEST_CASE("an empty list is verified by another call, and a changed server address is used") {
   Sidecar sidecar(2);
   sidecar.start();
   Peer watch = accept(sidecar.discovery);
-  watch.until("\r\n\r\n");
-  watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-            chunk("{\"index\":42,\"snapshot\":true,\"endpoints\":[]}\n"));
+  watch.readUntil("\r\n\r\n");
+  watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+             chunk("{\"index\":42,\"snapshot\":true,\"endpoints\":[]}\n"));
   Peer list = accept(sidecar.discovery);
-  CHECK(has(list.until("\r\n\r\n"), "GET /discovery/hosts HTTP/1.1\r\n"));
+  CHECK(has(list.readUntil("\r\n\r\n"), "GET /discovery/hosts HTTP/1.1\r\n"));
   ServerSocket moved(SocketAddress("127.0.0.1", 0));
-  list.say(served(R"({"index":42,"snapshot":true,"endpoints":[)" + entry("s-0", moved) + "," +
-                  entry("s-1", moved) + "]}"));
-  CHECK(list.ends());
+  list.send(okResponse(R"({"index":42,"snapshot":true,"endpoints":[)" + endpointEntry("s-0", moved) + "," +
+                       endpointEntry("s-1", moved) + "]}"));
+  CHECK(list.closedByPeer());
   Peer client = sidecar.connect();
-  client.say(query("pay"));
+  client.send(query("pay"));
   Peer server = accept(moved);
-  server.message();
-  server.say(served("moved"));
-  CHECK(has(client.message(), "moved"));
+  server.readMessage();
+  server.send(okResponse("moved"));
+  CHECK(has(client.readMessage(), "moved"));
 }
 
-TEST_CASE("a server that is removed keeps no connection, and another at its address gets its own") {
+TEST_CASE("connections to a removed server are closed, and another server at its address gets a new one") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer watch = accept(sidecar.discovery);
-  watch.until("\r\n\r\n");
+  watch.readUntil("\r\n\r\n");
   Peer client = sidecar.connect();
-  client.say(query("pay"));
-  Peer before = sidecar.server();
-  before.message();
-  before.say(served("before"));
-  CHECK(has(client.message(), "before"));
-  watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-            chunk("{\"index\":42,\"snapshot\":false,\"endpoints\":[" +
-                  entry("s-0", sidecar.servers[0], "removed") + "," + entry("s-9", sidecar.servers[0]) +
-                  "]}\n"));
-  CHECK(before.ends());
-  client.say(query("pay"));
-  Peer after = sidecar.server();
-  after.message();
-  after.say(served("after"));
-  CHECK(has(client.message(), "after"));
+  client.send(query("pay"));
+  Peer before = sidecar.acceptServer();
+  before.readMessage();
+  before.send(okResponse("before"));
+  CHECK(has(client.readMessage(), "before"));
+  watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+             chunk("{\"index\":42,\"snapshot\":false,\"endpoints\":[" +
+                   endpointEntry("s-0", sidecar.servers[0], "removed") + "," +
+                   endpointEntry("s-9", sidecar.servers[0]) + "]}\n"));
+  CHECK(before.closedByPeer());
+  client.send(query("pay"));
+  Peer after = sidecar.acceptServer();
+  after.readMessage();
+  after.send(okResponse("after"));
+  CHECK(has(client.readMessage(), "after"));
 }
 
-TEST_CASE("a watch that falls silent is asked for anew") {
+TEST_CASE("a silent watch is restarted") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer watch = accept(sidecar.discovery);
-  watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n"));
+  watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n"));
   Peer again = accept(sidecar.discovery);
-  CHECK(has(again.until("\r\n\r\n"), "watch=1"));
+  CHECK(has(again.readUntil("\r\n\r\n"), "watch=1"));
 }
 
-TEST_CASE("told anew under way, it watches discovery at the new address and loses nothing") {
+TEST_CASE("a reload moves the watch to the new discovery address and loses no query") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer watch = accept(sidecar.discovery);
-  watch.until("\r\n\r\n");
+  watch.readUntil("\r\n\r\n");
   Peer client = sidecar.connect();
-  client.say(query("pay"));
-  Peer server = sidecar.server();
-  server.message();
+  client.send(query("pay"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
   const ServerSocket old = std::exchange(sidecar.discovery, ServerSocket(SocketAddress("127.0.0.1", 0)));
-  const std::string moved = sidecar.form();
-  sidecar.tell("{\"discovery\":");  // half a file changes nothing
+  const std::string moved = sidecar.configuration();
+  sidecar.writeConfig("{\"discovery\":");  // an incomplete file changes nothing
   sidecar.signal(SIGHUP);
-  sidecar.tell(moved.substr(0, moved.find("fragile")) + "brittle" + moved.substr(moved.find("fragile") + 7));
+  sidecar.writeConfig(moved.substr(0, moved.find("fragile")) + "brittle" +
+                      moved.substr(moved.find("fragile") + 7));
   sidecar.signal(SIGHUP);
-  CHECK(watch.quiet());
-  sidecar.tell(moved);
+  CHECK(watch.staysSilent());
+  sidecar.writeConfig(moved);
   sidecar.signal(SIGHUP);
-  Peer anew = accept(sidecar.discovery);
-  CHECK(has(anew.until("\r\n\r\n"), "watch=1&after=41"));
-  CHECK(watch.ends());
-  sidecar.signal(SIGHUP);  // once more: the watch that stands stays
-  anew.say(
-      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-      chunk("{\"index\":3,\"snapshot\":true,\"endpoints\":[" + entry("s-0", sidecar.servers[0]) + "]}\n"));
-  CHECK(anew.quiet());
-  server.say(served("held"));
-  CHECK(has(client.message(), "held"));
+  Peer newWatch = accept(sidecar.discovery);
+  CHECK(has(newWatch.readUntil("\r\n\r\n"), "watch=1&after=41"));
+  CHECK(watch.closedByPeer());
+  sidecar.signal(SIGHUP);  // an unchanged address keeps the watch
+  newWatch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                chunk("{\"index\":3,\"snapshot\":true,\"endpoints\":[" +
+                      endpointEntry("s-0", sidecar.servers[0]) + "]}\n"));
+  CHECK(newWatch.staysSilent());
+  server.send(okResponse("held"));
+  CHECK(has(client.readMessage(), "held"));
   sidecar.signal(SIGTERM);
   sidecar.signal(SIGHUP);
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   const std::string log = sidecar.log();
   CHECK(has(log, "reload_refused"));
   CHECK(has(log, " discovery_failures=0 lists=2 "));
 }
 
-TEST_CASE("asked to stop, it answers what it has and what still comes, and ends") {
+TEST_CASE("on SIGTERM queries in flight and late ones are answered before the process exits") {
   Sidecar sidecar(1);
   sidecar.start();
   Peer idle = sidecar.connect();
-  idle.say("GET /up HTTP/1.1\r\n\r\n");
-  idle.message();
+  idle.send("GET /up HTTP/1.1\r\n\r\n");
+  idle.readMessage();
   Peer client = sidecar.connect();
-  client.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
+  client.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
   sidecar.signal(SIGTERM);
-  CHECK(idle.ends());
+  CHECK(idle.closedByPeer());
   Peer late = sidecar.connect();
-  late.say(query("read"));
-  Peer second = sidecar.server();
-  second.message();
-  second.say(served("late"));
-  CHECK(has(late.message(), "Connection: close\r\n"));
-  server.say(served("held"));
-  const std::string answer = client.message();
+  late.send(query("read"));
+  Peer second = sidecar.acceptServer();
+  second.readMessage();
+  second.send(okResponse("late"));
+  CHECK(has(late.readMessage(), "Connection: close\r\n"));
+  server.send(okResponse("held"));
+  const std::string answer = client.readMessage();
   CHECK(has(answer, "held"));
   CHECK(has(answer, "Connection: close\r\n"));
   client.close();
   late.close();
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   CHECK(has(sidecar.log(), "counters queries=2 completed=2 rejected=0"));
 }
 
-TEST_CASE("without descriptors, idle connections make room and no query is lost") {
+TEST_CASE("when descriptors run out, idle connections are closed and no query is lost") {
   Sidecar sidecar(1);
-  sidecar.sockets = "24";
+  sidecar.descriptorLimit = "24";
   sidecar.start();
   Peer first = sidecar.connect();
-  first.say(query("read"));
-  Peer server = sidecar.server();
-  server.message();
-  server.say(served("done"));
-  first.message();
+  first.send(query("read"));
+  Peer server = sidecar.acceptServer();
+  server.readMessage();
+  server.send(okResponse("done"));
+  first.readMessage();
   std::vector<Peer> clients;
   for (int i = 0; i < 40; ++i) {
-    clients.push_back(sidecar.connect());  // says nothing, so that it is not ended with its answer
+    clients.push_back(
+        sidecar.connect());  // stays idle, as a connection with a query would be closed with its response
   }
-  CHECK(first.ends());
+  CHECK(first.closedByPeer());
   clients.push_back(sidecar.connect());
-  clients.back().say(query("read"));
-  server.message();
-  server.say(served("done"));
-  CHECK(has(clients.back().message(), "done"));
+  clients.back().send(query("read"));
+  server.readMessage();
+  server.send(okResponse("done"));
+  CHECK(has(clients.back().readMessage(), "done"));
   sidecar.signal(SIGUSR1);
   sidecar.signal(SIGTERM);
-  CHECK(sidecar.ended() == 0);
+  CHECK(sidecar.waitForExit() == 0);
   CHECK(has(sidecar.log(), "counters queries=2 completed=2 "));
 }
 
-TEST_CASE("what it is told wrongly at start is one line and a failed exit") {
+TEST_CASE("an invalid configuration at startup is reported in one line with a failure exit code") {
   Sidecar sidecar(1);
-  std::string form = sidecar.form();
-  bool told = true;
-  ServerSocket taken;
-  SECTION("no variable") { told = false; }
-  SECTION("not JSON") { form = "listen"; }
-  SECTION("nothing in it") { form = "{}"; }
-  SECTION("a name for an address") { form.replace(form.find("127.0.0.1"), 9, "localhost"); }
-  SECTION("an address in use") { taken = ServerSocket(sidecar.address); }
-  SECTION("an unknown kind of repeat") { form.replace(form.find("fragile"), 7, "brittle"); }
-  sidecar.launch(form, told);
-  CHECK(sidecar.ended() == 1);
+  std::string config = sidecar.configuration();
+  bool setVariable = true;
+  ServerSocket occupied;
+  SECTION("LB_CONFIG not set") { setVariable = false; }
+  SECTION("not JSON") { config = "listen"; }
+  SECTION("empty object") { config = "{}"; }
+  SECTION("host name instead of an address") { config.replace(config.find("127.0.0.1"), 9, "localhost"); }
+  SECTION("address in use") { occupied = ServerSocket(sidecar.address); }
+  SECTION("unknown effect of a use case") { config.replace(config.find("fragile"), 7, "brittle"); }
+  sidecar.launch(config, setVariable);
+  CHECK(sidecar.waitForExit() == 1);
   const std::string log = sidecar.log();
   CHECK(log.find("rackroute: ") == 0);
   CHECK(log.find('\n') == log.size() - 1);
