--- a/src/migrate/main.cpp
+++ b/src/migrate/main.cpp
@@ -1,5 +1,5 @@
-// rackroute-migrate OLD [-o NEW] [--dry-run] [--replace]: reads a configuration of the old shape and writes
-// its counterpart for the new one. The old file is never touched; the new one is written whole or not at all.
+// rackroute-migrate OLD [-o NEW] [--dry-run] [--replace]: translates a configuration of the old deployment
+// model into the new one. The old file is not modified; the new one is written completely or not at all.
 
 #include <unistd.h>
 
@@ -17,77 +17,79 @@
 namespace {
 
 namespace fs = std::filesystem;
-using rackroute::migrate::Refused;
+using rackroute::migrate::TranslationError;
 
-enum Exit { kDone = 0, kFailed = 1, kUsage = 2, kGaps = 3 };  // as docs/migration.md has them
+enum Exit { kDone = 0, kFailed = 1, kUsage = 2, kGaps = 3 };  // documented exit codes
 
-struct Asked {
-  std::string from;
-  std::string to;
-  bool dry = false;
+struct Options {
+  std::string input;
+  std::string output;
+  bool dryRun = false;
   bool replace = false;
 };
 
-bool read(int count, char** words, Asked& asked) {
+bool parseOptions(int count, char** arguments, Options& options) {
   for (int i = 1; i < count; ++i) {
-    const std::string word = words[i];
-    if (word == "--dry-run") {
-      asked.dry = true;
-    } else if (word == "--replace") {
-      asked.replace = true;
-    } else if (word == "-o" && i + 1 < count) {
-      asked.to = words[++i];
-    } else if (word.empty() || word[0] == '-' || !asked.from.empty()) {
+    const std::string argument = arguments[i];
+    if (argument == "--dry-run") {
+      options.dryRun = true;
+    } else if (argument == "--replace") {
+      options.replace = true;
+    } else if (argument == "-o" && i + 1 < count) {
+      options.output = arguments[++i];
+    } else if (argument.empty() || argument[0] == '-' || !options.input.empty()) {
       return false;
     } else {
-      asked.from = word;
+      options.input = argument;
     }
   }
-  if (asked.to.empty()) asked.to = asked.from + ".new";
-  return !asked.from.empty();
+  if (options.output.empty()) options.output = options.input + ".new";
+  return !options.input.empty();
 }
 
-std::string whole(const std::string& path) {
+std::string readFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
-  if (!file || !(text << file.rdbuf())) throw Refused("it can't be read");
+  if (!file || !(text << file.rdbuf())) throw TranslationError("cannot read the file");
   return text.str();
 }
 
-// Guards against half a file, and against one that came to stand there meanwhile: written beside, then
-// linked.
-void write(const Asked& asked, const std::string& text) {
-  const std::string beside = asked.to + "." + std::to_string(::getpid());
-  std::ofstream file(beside, std::ios::binary | std::ios::trunc);
+// Writes a temporary file first, so that the output is never partial. Linking it fails if the output has been
+// created in the meantime.
+void write(const Options& options, const std::string& text) {
+  const std::string temporary = options.output + "." + std::to_string(::getpid());
+  std::ofstream file(temporary, std::ios::binary | std::ios::trunc);
   file << text;
   file.close();
-  const bool made = file && (asked.replace ? std::rename(beside.c_str(), asked.to.c_str()) == 0
-                                           : ::link(beside.c_str(), asked.to.c_str()) == 0);
-  const int why = errno;
-  ::unlink(beside.c_str());
-  if (!made) throw Refused(asked.to + " can't be written: " + std::strerror(why));
+  const bool result = file && (options.replace ? std::rename(temporary.c_str(), options.output.c_str()) == 0
+                                               : ::link(temporary.c_str(), options.output.c_str()) == 0);
+  const int error = errno;
+  ::unlink(temporary.c_str());
+  if (!result) throw TranslationError("cannot write " + options.output + ": " + std::strerror(error));
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  Asked asked;
-  if (!read(count, words, asked)) {
+int main(int count, char** arguments) {
+  Options options;
+  if (!parseOptions(count, arguments, options)) {
     std::cerr << "usage: rackroute-migrate OLD [-o NEW] [--dry-run] [--replace]\n";
     return kUsage;
   }
   try {
-    const auto made = rackroute::migrate::translate(whole(asked.from));
+    const auto result = rackroute::migrate::translate(readFile(options.input));
     std::error_code none;
-    if (fs::equivalent(asked.from, asked.to, none)) throw Refused("the new file would be the old one");
-    if (fs::exists(asked.to) && !asked.replace)
-      throw Refused(asked.to + " is there already; --replace writes over it");
-    if (!asked.dry) write(asked, made.text);
-    std::cout << rackroute::migrate::report(made) << (asked.dry ? "nothing written, would be " : "written ")
-              << asked.to << (made.gaps() ? ", with gaps: supply what is missing\n" : "\n");
-    return made.gaps() ? kGaps : kDone;
+    if (fs::equivalent(options.input, options.output, none))
+      throw TranslationError("output is the same file as the input");
+    if (fs::exists(options.output) && !options.replace)
+      throw TranslationError(options.output + " already exists; use --replace to overwrite it");
+    if (!options.dryRun) write(options, result.text);
+    std::cout << rackroute::migrate::report(result)
+              << (options.dryRun ? "nothing written, would write " : "written ") << options.output
+              << (result.hasMissing() ? ", incomplete: supply the missing values\n" : "\n");
+    return result.hasMissing() ? kGaps : kDone;
   } catch (const std::exception& error) {
-    std::cerr << "rackroute-migrate: " << asked.from << ": " << error.what() << '\n';
+    std::cerr << "rackroute-migrate: " << options.input << ": " << error.what() << '\n';
     return kFailed;
   }
 }
--- a/src/migrate/translate.cpp
+++ b/src/migrate/translate.cpp
@@ -18,130 +18,138 @@
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
-constexpr std::array<std::string_view, 5> kNeeded = {"listen", "discovery", "seed", "known", "settings"};
-constexpr std::array<std::string_view, 6> kCarried = {"name", "listen", "discovery",
-                                                      "seed", "limits", "admin"};
-constexpr std::size_t kLocations = 2;  // the new shape's
+constexpr std::array<std::string_view, 5> kRequiredKeys = {"listen", "discovery", "seed", "known",
+                                                           "settings"};
+constexpr std::array<std::string_view, 6> kCopiedKeys = {"name", "listen", "discovery",
+                                                         "seed", "limits", "admin"};
+constexpr std::size_t kPoolLocations = 2;
 
-Object::Ptr parsed(const std::string& text) {
+Object::Ptr parseObject(const std::string& text) {
   try {
-    Poco::JSON::Parser parser(new Poco::JSON::ParseHandler(true));  // keeps the order of the file
+    Poco::JSON::Parser parser(new Poco::JSON::ParseHandler(true));  // preserves key order
     const Var all = parser.parse(text);
     if (all.type() == typeid(Object::Ptr)) return all.extract<Object::Ptr>();
   } catch (const Poco::Exception& error) {
-    throw Refused("it is no JSON: " + error.displayText());
+    throw TranslationError("not valid JSON: " + error.displayText());
   }
-  throw Refused("it is no object");
+  throw TranslationError("not a JSON object");
 }
 
 template <class Value>
-Value part(const Object& document, const std::string& path, const std::string& name) {
+Value required(const Object& document, const std::string& path, const std::string& name) {
   const Var value = document.get(name);
   if (value.isEmpty() || value.type() != typeid(Value))
-    throw Refused(path + name + " is missing or malformed");
+    throw TranslationError(path + name + " is missing or malformed");
   return value.extract<Value>();
 }
 
 class Translator {
  public:
-  explicit Translator(const std::string& old) : old_(parsed(old)) {}
+  explicit Translator(const std::string& old) : old_(parseObject(old)) {}
 
   Translation run() {
-    for (const std::string_view name : kNeeded)
-      if (!old_->has(std::string(name))) throw Refused("it lacks " + std::string(name));
-    const auto settings = part<Object::Ptr>(*old_, "", "settings");
+    for (const std::string_view name : kRequiredKeys)
+      if (!old_->has(std::string(name))) throw TranslationError("missing key: " + std::string(name));
+    const auto settings = required<Object::Ptr>(*old_, "", "settings");
     const auto weights = settings->optValue<std::string>("weights", "nominal");
-    if (weights == "live") throw Refused("it is of the new shape already: settings.weights is live");
+    if (weights == "live") throw TranslationError("already in the new format: settings.weights is live");
     if (weights != "nominal" && weights != "rough" && weights != "none")
-      throw Refused("settings.weights: '" + weights + "'");
-    for (const std::string& name : old_->getNames()) {  // in the file's order
+      throw TranslationError("unknown value of settings.weights: '" + weights + "'");
+    for (const std::string& name : old_->getNames()) {
       if (name == "settings") {
-        made_.set(name, moved(*settings));
+        result_.set(name, translateSettings(*settings));
       } else if (name == "known") {
-        made_.set(name, knownAnew());
-      } else if (std::count(kCarried.begin(), kCarried.end(), name) > 0) {
-        carry(made_, "", name, old_->get(name));
+        result_.set(name, emptyKnownList());
+      } else if (std::count(kCopiedKeys.begin(), kCopiedKeys.end(), name) > 0) {
+        copyValue(result_, "", name, old_->get(name));
       } else {
-        missing(name, "the program knows no such key; left out");
+        reportMissing(name, "unknown key, omitted");
       }
     }
     std::ostringstream text;
-    made_.stringify(text, 2);
+    result_.stringify(text, 2);
     translation_.text = text.str() + "\n";
     return std::move(translation_);
   }
 
  private:
-  void carry(Object& into, const std::string& at, const std::string& name, const Var& value) {
-    into.set(name, value);
-    translation_.lines.push_back({Fate::carried, at + name, ""});
+  void copyValue(Object& target, const std::string& prefix, const std::string& name, const Var& value) {
+    target.set(name, value);
+    translation_.report.push_back({Action::carried, prefix + name, ""});
   }
-  void put(Object& into, const std::string& name, const std::string& value, const std::string& why) {
-    into.set(name, value);
-    translation_.lines.push_back({Fate::set, "settings." + name, value + ": " + why});
+  void setSetting(Object& target, const std::string& name, const std::string& value,
+                  const std::string& reason) {
+    target.set(name, value);
+    translation_.report.push_back({Action::set, "settings." + name, value + ": " + reason});
   }
-  void missing(const std::string& path, const std::string& what) {
-    translation_.lines.push_back({Fate::missing, path, what});
+  void reportMissing(const std::string& path, const std::string& detail) {
+    translation_.report.push_back({Action::missing, path, detail});
   }
 
-  Object::Ptr moved(const Object& settings) {
-    Object::Ptr made = new Object(Poco::JSON_PRESERVE_KEY_ORDER);
+  Object::Ptr translateSettings(const Object& settings) {
+    Object::Ptr result = new Object(Poco::JSON_PRESERVE_KEY_ORDER);
     const Var zones = settings.get("azs");
     const std::size_t locations =
         zones.type() == typeid(Array::Ptr) ? zones.extract<Array::Ptr>()->size() : 0;
     for (const std::string& name : settings.getNames()) {
       if (name == "weights" || name == "registry_mode" || name == "peers_total" || name == "my_number")
         continue;
-      if ((name == "azs" || name == "locality") && locations != kLocations) continue;
-      carry(*made, "settings.", name, settings.get(name));
+      if ((name == "azs" || name == "locality") && locations != kPoolLocations) continue;
+      copyValue(*result, "settings.", name, settings.get(name));
     }
-    put(*made, "weights", "live", "the list's weights follow load");
-    put(*made, "registry_mode", "pushed", "the list is sent unasked; the sidecar keeps its watch either way");
-    missing("settings.peers_total", "counted each client's own sidecar; supply how many the pool has");
-    missing("settings.my_number", "was a client's; supply this sidecar's place in the pool, from 0");
-    if (locations != kLocations) {
-      missing("settings.azs", std::to_string(locations) + " locations; supply the new fleet's two");
-      missing("settings.locality", "may be none of the new fleet's two; supply this sidecar's");
+    setSetting(*result, "weights", "live", "weights in the list follow load");
+    setSetting(*result, "registry_mode", "pushed",
+               "discovery pushes the list; the sidecar keeps its watch in either mode");
+    reportMissing("settings.peers_total",
+                  "counted one sidecar per client; supply the number of sidecars in the pool");
+    reportMissing("settings.my_number",
+                  "belonged to one client; supply this sidecar's index in the pool, from 0");
+    if (locations != kPoolLocations) {
+      reportMissing("settings.azs", std::to_string(locations) + " locations; supply the two of the new pool");
+      reportMissing("settings.locality",
+                    "may not be one of the new pool's two locations; supply this sidecar's");
     }
-    return made;
+    return result;
   }
 
-  Object::Ptr knownAnew() {
-    const auto known = part<Object::Ptr>(*old_, "", "known");
-    const auto servers = part<Array::Ptr>(*known, "known.", "endpoints");
-    Object::Ptr made = new Object(Poco::JSON_PRESERVE_KEY_ORDER);
-    made->set("index", 0);
-    made->set("snapshot", true);
-    made->set("endpoints", Array::Ptr(new Array));
+  Object::Ptr emptyKnownList() {
+    const auto known = required<Object::Ptr>(*old_, "", "known");
+    const auto servers = required<Array::Ptr>(*known, "known.", "endpoints");
+    Object::Ptr result = new Object(Poco::JSON_PRESERVE_KEY_ORDER);
+    result->set("index", 0);
+    result->set("snapshot", true);
+    result->set("endpoints", Array::Ptr(new Array));
     if (servers->size() > 0)
-      missing(
+      reportMissing(
           "known.endpoints",
           std::to_string(servers->size()) +
-              " servers of the old fleet, their weights sizes; supply the new fleet's, or have none until "
-              "discovery tells them");
-    return made;
+              " servers with nominal weights; supply the new servers, or none until discovery lists them");
+    return result;
   }
 
   Object::Ptr old_;
-  Object made_{Poco::JSON_PRESERVE_KEY_ORDER};
+  Object result_{Poco::JSON_PRESERVE_KEY_ORDER};
   Translation translation_;
 };
 
 }  // namespace
 
-bool Translation::gaps() const {
-  return std::any_of(lines.begin(), lines.end(), [](const Line& line) { return line.fate == Fate::missing; });
+bool Translation::hasMissing() const {
+  return std::any_of(report.begin(), report.end(),
+                     [](const ReportLine& line) { return line.action == Action::missing; });
 }
 
 Translation translate(const std::string& old) { return Translator(old).run(); }
 
 std::string report(const Translation& translation) {
-  std::string all;
-  for (const Line& line : translation.lines) {
-    all += line.fate == Fate::carried ? "carried  " : line.fate == Fate::set ? "set      " : "missing  ";
-    all += line.path + (line.what.empty() ? "" : ": " + line.what) + '\n';
+  std::string text;
+  for (const ReportLine& line : translation.report) {
+    text += line.action == Action::carried ? "carried  "
+            : line.action == Action::set   ? "set      "
+                                           : "missing  ";
+    text += line.path + (line.detail.empty() ? "" : ": " + line.detail) + '\n';
   }
-  return all;
+  return text;
 }
 
 }  // namespace rackroute::migrate
--- a/src/migrate/translate.hpp
+++ b/src/migrate/translate.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// An operator's file of the old shape (each client its own sidecar, nominal weights) turned into its
-// counterpart for the new one (a pool of sidecars, weights that follow load, two locations). No input or
-// output here.
+// Translates a configuration of the old deployment model (one sidecar per client, nominal weights) into one
+// for the new model (a shared pool of sidecars, load-based weights, two locations). No I/O.
 
 #include <stdexcept>
 #include <string>
@@ -10,29 +9,29 @@
 
 namespace rackroute::migrate {
 
-struct Refused : std::runtime_error {
+struct TranslationError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Missing: not carried over; the operator supplies it or does without.
-enum class Fate { carried, set, missing };
+/// `missing`: not translated; the operator has to supply the value or do without.
+enum class Action { carried, set, missing };
 
-struct Line {
-  Fate fate;
+struct ReportLine {
+  Action action;
   std::string path;
-  std::string what;
+  std::string detail;
 };
 
 struct Translation {
-  std::string text;  // the new file
-  std::vector<Line> lines;
-  [[nodiscard]] bool gaps() const;
+  std::string text;  // contents of the new file
+  std::vector<ReportLine> report;
+  [[nodiscard]] bool hasMissing() const;
 };
 
-/// Throws Refused, in one line, for what is no configuration of the old shape.
+/// Throws TranslationError, with a one-line message, if `old` is not a configuration of the old model.
 Translation translate(const std::string& old);
 
-/// One line for each of the translation's, in the order of the old file.
+/// Formats one line per key, in the order of the old file.
 std::string report(const Translation& translation);
 
 }  // namespace rackroute::migrate
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -1,3 +1,5 @@
+// Runs one simulator session over standard input and output.
+
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -15,7 +17,7 @@
       ++number;
       if (session.read(line)) std::cout << session.takeReply() << std::flush;
     }
-    if (!session.betweenBatches()) throw rackroute::simwire::Malformed("the input ends inside a batch");
+    if (!session.betweenBatches()) throw rackroute::simwire::Malformed("input ends within a batch");
   } catch (const std::exception& error) {
     std::cerr << "line " << number << ": " << error.what() << '\n';
     return 1;
--- a/src/simwire/session.cpp
+++ b/src/simwire/session.cpp
@@ -13,17 +13,17 @@
 using told::malformed;
 using told::micros;
 
-constexpr std::size_t kLists = 16;
+constexpr std::size_t kListSlots = 16;
 
 template <class Number>
-Number number(std::string_view text, std::string_view what) {
+Number parseNumber(std::string_view text, std::string_view what) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size()) malformed(what, text);
   return value;
 }
 
-bool flag(std::string_view text, std::string_view what) {
+bool parseFlag(std::string_view text, std::string_view what) {
   if (text != "0" && text != "1") malformed(what, text);
   return text == "1";
 }
@@ -39,34 +39,34 @@
 }
 
 void writeMicros(std::string& out, std::int64_t value) {
-  const std::uint64_t size =
+  const std::uint64_t magnitude =
       value < 0 ? 0 - static_cast<std::uint64_t>(value) : static_cast<std::uint64_t>(value);
   if (value < 0) out += '-';
-  const std::string fraction = std::to_string(size % 1000);
-  out += std::to_string(size / 1000) + '.' + std::string(3 - fraction.size(), '0') + fraction;
+  const std::string fraction = std::to_string(magnitude % 1000);
+  out += std::to_string(magnitude / 1000) + '.' + std::string(3 - fraction.size(), '0') + fraction;
 }
 
-told::Pairs pairs(const std::vector<std::string_view>& parts, std::size_t from) {
-  told::Pairs made;
+told::Pairs parseSettings(const std::vector<std::string_view>& parts, std::size_t from) {
+  told::Pairs result;
   for (std::size_t i = from; i < parts.size(); ++i) {
     const std::size_t at = parts[i].find('=');
-    if (at == std::string_view::npos) malformed("a setting without a value", parts[i]);
-    made.insert_or_assign(std::string(parts[i].substr(0, at)), std::string(parts[i].substr(at + 1)));
+    if (at == std::string_view::npos) malformed("setting without a value", parts[i]);
+    result.insert_or_assign(std::string(parts[i].substr(0, at)), std::string(parts[i].substr(at + 1)));
   }
-  return made;
+  return result;
 }
 
 template <class Value>
-Value word(std::string_view text, std::string_view what,
-           std::initializer_list<std::pair<std::string_view, Value>> words) {
-  for (const auto& [name, value] : words) {
+Value parseName(std::string_view text, std::string_view what,
+                std::initializer_list<std::pair<std::string_view, Value>> names) {
+  for (const auto& [name, value] : names) {
     if (name == text) return value;
   }
   malformed(what, text);
 }
 
-// A time in a load report, whose pairs stand as name:value with commas between; 0 if it is not there.
-Span reported(std::string_view report, std::string_view name) {
+// A time in a load report of the form name:value,name:value; 0 if the name is missing.
+Span reportedTime(std::string_view report, std::string_view name) {
   while (!report.empty() && report != "-") {
     const std::string_view pair = report.substr(0, report.find(','));
     const std::size_t colon = pair.find(':');
@@ -77,31 +77,31 @@
   return Span{0};
 }
 
-Outcome outcome(std::string_view text) {
-  return word<Outcome>(text, "verdict",
-                       {{"10", Outcome::completed},
-                        {"20", Outcome::error},
-                        {"30", Outcome::full},
-                        {"40", Outcome::timeout},
-                        {"50", Outcome::connectFailed},
-                        {"60", Outcome::reset},
-                        {"70", Outcome::cancelled},
-                        {"80", Outcome::invalidQuery}});
+Outcome parseOutcome(std::string_view text) {
+  return parseName<Outcome>(text, "verdict",
+                            {{"10", Outcome::completed},
+                             {"20", Outcome::error},
+                             {"30", Outcome::full},
+                             {"40", Outcome::timeout},
+                             {"50", Outcome::connectFailed},
+                             {"60", Outcome::reset},
+                             {"70", Outcome::cancelled},
+                             {"80", Outcome::invalidQuery}});
 }
 
 }  // namespace
 
-/// One balancer and its end of the wire.
+/// One balancer instance, which writes its actions to the reply.
 class Instance : public BalancerHost {
  public:
   Instance(std::string_view name, std::uint64_t seed, const told::Pairs& pairs, std::int64_t clock,
            std::string& reply)
-      : number_(name), start_(clock), reply_(reply), told_(seed, pairs) {
-    balancer_ = std::make_unique<Balancer>(told_.terms, *this);
+      : instanceId_(name), start_(clock), reply_(reply), settings_(seed, pairs) {
+    balancer_ = std::make_unique<Balancer>(settings_.terms, *this);
   }
 
   void execute(QueryId query, ServerId server, Span timeout) override {
-    begin("FORWARD", query);
+    beginLine("FORWARD", query);
     reply_ += '\t';
     writeMicros(reply_, timeout.count());
     reply_ += '\t';
@@ -109,50 +109,50 @@
     reply_ += '\n';
   }
   void cancel(QueryId query, ExecutionNo execution) override {
-    begin("ABORT_ATTEMPT", query);
+    beginLine("ABORT_ATTEMPT", query);
     reply_ += '\t' + std::to_string(execution.value) + '\n';
   }
-  void reject(QueryId query, Span comeBackAfter) override {
-    begin("DENY", query);
+  void reject(QueryId query, Span retryAfter) override {
+    beginLine("DENY", query);
     reply_ += '\t';
-    writeMicros(reply_, comeBackAfter.count());
+    writeMicros(reply_, retryAfter.count());
     reply_ += '\n';
-    answered_.push_back(query);
+    answeredQueries_.push_back(query);
   }
   void abort(QueryId query) override {
-    begin("END_FAILED", query);
+    beginLine("END_FAILED", query);
     reply_ += '\n';
-    answered_.push_back(query);
+    answeredQueries_.push_back(query);
   }
   void wakeAt(Span time) override {
-    begin("SCHEDULE");
+    beginLine("SCHEDULE");
     reply_ += '\t';
     writeMicros(reply_, start_ + time.count());
     reply_ += "\t0\n";
   }
   void watchServers() override {
-    begin("LISTEN");
+    beginLine("LISTEN");
     reply_ += "\t1\n";
   }
   void listServers() override {
-    begin("FETCH");
+    beginLine("FETCH");
     reply_ += '\n';
   }
 
   [[nodiscard]] Span now(std::int64_t clock) const { return Span{clock - start_}; }
   Balancer& balancer() { return *balancer_; }
-  ZoneId zone(std::string_view name) { return {told_.zones.id(name)}; }
+  ZoneId zone(std::string_view name) { return {settings_.zones.id(name)}; }
   ServerId server(const std::string& name) {
     const ServerId id = told::serverId(name);
     servers_.emplace(id.value, name);
     return id;
   }
 
-  void take(const std::vector<std::string_view>& parts, Span at) {
+  void submit(const std::vector<std::string_view>& parts, Span at) {
     Query query;
-    query.id = {number<std::uint32_t>(parts[2], "op_id")};
+    query.id = {parseNumber<std::uint32_t>(parts[2], "op_id")};
     query.timeLeft = Span{micros(parts[3], "expires_in_ms")};
-    query.useCase = {told_.useCases.known(parts[4], "profile")};
+    query.useCase = {settings_.useCases.known(parts[4], "profile")};
     if (parts[5] != "-" && !parts[5].empty()) {
       std::uint64_t key{};
       const auto end = std::from_chars(parts[5].data(), parts[5].data() + parts[5].size(), key, 16);
@@ -160,66 +160,67 @@
         malformed("path_key", parts[5]);
       query.key = KeyId{key};
     }
-    if (!told_.accounts.empty() && parts[6] != "-" && parts[6] != "0")
-      query.account = {told_.accounts.known(parts[6], "user_group")};
+    if (!settings_.accounts.empty() && parts[6] != "-" && parts[6] != "0")
+      query.account = {settings_.accounts.known(parts[6], "user_group")};
     queries_.insert_or_assign(query.id.value, balancer_->submit(at, query));
-    settle();
+    eraseFinished();
   }
-  void ended(const std::vector<std::string_view>& parts, Span at) {
-    const ExecutionNo no{number<std::uint32_t>(parts[3], "send_no")};
-    const Outcome how = outcome(parts[5]);
-    const bool terminal = flag(parts[7], "terminal");
-    const Span service = reported(parts[8], told::kServiceTime);
-    with(parts[2], [&](QueryHandle& query) { query.executionEnded(at, no, how, terminal, service); });
+  void executionEnded(const std::vector<std::string_view>& parts, Span at) {
+    const ExecutionNo no{parseNumber<std::uint32_t>(parts[3], "send_no")};
+    const Outcome outcome = parseOutcome(parts[5]);
+    const bool terminal = parseFlag(parts[7], "terminal");
+    const Span service = reportedTime(parts[8], told::kServiceTime);
+    withQuery(parts[2],
+              [&](QueryHandle& query) { query.executionEnded(at, no, outcome, terminal, service); });
   }
-  void begun(const std::vector<std::string_view>& parts, Span at) {
-    const ExecutionNo no{number<std::uint32_t>(parts[4], "send_no")};
-    with(parts[2], [&](QueryHandle& query) { query.responseStarted(at, no); });
+  void responseStarted(const std::vector<std::string_view>& parts, Span at) {
+    const ExecutionNo no{parseNumber<std::uint32_t>(parts[4], "send_no")};
+    withQuery(parts[2], [&](QueryHandle& query) { query.responseStarted(at, no); });
   }
-  void left(const std::vector<std::string_view>& parts, Span at) {
-    with(parts[2], [&](QueryHandle& query) { query.clientLeft(at); });
+  void clientLeft(const std::vector<std::string_view>& parts, Span at) {
+    withQuery(parts[2], [&](QueryHandle& query) { query.clientLeft(at); });
   }
-  /// Forgets the queries that are over.
-  void settle() {
-    for (const QueryId query : answered_) {
+  /// Erases the answered queries that have finished.
+  void eraseFinished() {
+    for (const QueryId query : answeredQueries_) {
       const auto at = queries_.find(query.value);
       if (at != queries_.end() && at->second.finished()) queries_.erase(at);
     }
-    answered_.clear();
+    answeredQueries_.clear();
   }
 
  private:
   template <class Call>
-  void with(std::string_view field, Call call) {
-    const std::uint32_t id = number<std::uint32_t>(field, "op_id");
+  void withQuery(std::string_view field, Call call) {
+    const std::uint32_t id = parseNumber<std::uint32_t>(field, "op_id");
     const auto at = queries_.find(id);
     if (at != queries_.end()) {
       call(at->second);
       if (at->second.finished()) queries_.erase(at);
     }
-    settle();
+    eraseFinished();
   }
-  void begin(std::string_view name) {
+  void beginLine(std::string_view name) {
     reply_ += name;
     reply_ += '\t';
-    reply_ += number_;
+    reply_ += instanceId_;
   }
-  void begin(std::string_view name, QueryId query) {
-    begin(name);
+  void beginLine(std::string_view name, QueryId query) {
+    beginLine(name);
     reply_ += '\t' + std::to_string(query.value);
   }
 
-  std::string number_;
+  std::string instanceId_;
   std::int64_t start_;
   std::string& reply_;
-  told::Told told_;
+  told::Told settings_;
   std::unordered_map<std::uint64_t, std::string> servers_;
   std::unordered_map<std::uint32_t, QueryHandle> queries_;
-  std::vector<QueryId> answered_;
+  std::vector<QueryId> answeredQueries_;
   std::unique_ptr<Balancer> balancer_;
 };
 
-Session::Session() : lists_(kLists) {}
+Session::Session() : lists_(kListSlots) {}
 Session::~Session() = default;
 
 std::string Session::takeReply() {
@@ -232,14 +233,14 @@
   split(line, '\t', parts_);
   const std::string_view name = parts_.front();
   if (name == "BEGIN_BATCH") {
-    if (inBatch_ || parts_.size() < 2) malformed("a batch begins badly", line);
+    if (inBatch_ || parts_.size() < 2) malformed("invalid start of a batch", line);
     clock_ = micros(parts_[1], "clock");
     inBatch_ = true;
     return false;
   }
-  if (!inBatch_) malformed("an event outside a batch", name);
-  if (entriesDue_ > 0) {
-    if (name != "SERVER") malformed("a list entry is missing before", name);
+  if (!inBatch_) malformed("event outside a batch", name);
+  if (entriesRemaining_ > 0) {
+    if (name != "SERVER") malformed("expected a list entry instead of", name);
     entry(parts_);
     return false;
   }
@@ -260,36 +261,36 @@
   const std::string_view name = parts.front();
   const auto known = fields.find(name);
   if (known == fields.end()) malformed("unknown message", name);
-  if (parts.size() < known->second) malformed("a field is missing", name);
+  if (parts.size() < known->second) malformed("missing field in message", name);
   if (name == "START") return start(parts);
   if (name == "DEFINE_LIST") return defineList(parts);
   if (name == "RETIRE") {
-    instances_.erase(number<std::int64_t>(parts[1], "instance"));
+    instances_.erase(parseNumber<std::int64_t>(parts[1], "instance"));
     return;
   }
-  const auto at = instances_.find(number<std::int64_t>(parts[1], "instance"));
-  if (at == instances_.end()) return;  // killed; nothing more is owed
+  const auto at = instances_.find(parseNumber<std::int64_t>(parts[1], "instance"));
+  if (at == instances_.end()) return;  // the instance has been retired
   Instance& self = *at->second;
   const Span now = self.now(clock_);
   if (name == "REQ") {
-    self.take(parts, now);
+    self.submit(parts, now);
   } else if (name == "RESULT") {
-    self.ended(parts, now);
+    self.executionEnded(parts, now);
   } else if (name == "BEGUN") {
-    self.begun(parts, now);
+    self.responseStarted(parts, now);
   } else if (name == "CANCELLED_BY_CLIENT") {
-    self.left(parts, now);
+    self.clientLeft(parts, now);
   } else if (name == "TIMEOUT_FIRED") {
     self.balancer().wake(now);
-    self.settle();
+    self.eraseFinished();
   } else if (name == "DISCOVERY") {
     if (parts[2] == "Error") return self.balancer().discoveryFailed(now);
-    const ServerListKind listing = word<ServerListKind>(parts[2], "scope",
-                                                        {{"Partial", ServerListKind::changes},
-                                                         {"Complete", ServerListKind::complete},
-                                                         {"Persisted", ServerListKind::persisted}});
-    const auto slot = number<std::size_t>(parts[4], "slot");
-    if (slot >= kLists) malformed("slot", parts[4]);
+    const ServerListKind kind = parseName<ServerListKind>(parts[2], "scope",
+                                                          {{"Partial", ServerListKind::changes},
+                                                           {"Complete", ServerListKind::complete},
+                                                           {"Persisted", ServerListKind::persisted}});
+    const auto slot = parseNumber<std::size_t>(parts[4], "slot");
+    if (slot >= kListSlots) malformed("slot", parts[4]);
     std::vector<ListedServer> servers;
     for (const Entry& listed : lists_[slot]) {
       ListedServer server;
@@ -301,37 +302,37 @@
       if (listed.since != 0) server.startedAt = self.now(listed.since);
       servers.push_back(server);
     }
-    self.balancer().serversListed(now, listing, servers);
-    self.settle();
+    self.balancer().serversListed(now, kind, servers);
+    self.eraseFinished();
   }
 }
 
 void Session::start(const std::vector<std::string_view>& parts) {
-  auto made = std::make_unique<Instance>(parts[1], number<std::uint64_t>(parts[2], "salt"), pairs(parts, 3),
-                                         clock_, reply_);
-  instances_.insert_or_assign(number<std::int64_t>(parts[1], "instance"), std::move(made));
+  auto result = std::make_unique<Instance>(parts[1], parseNumber<std::uint64_t>(parts[2], "salt"),
+                                           parseSettings(parts, 3), clock_, reply_);
+  instances_.insert_or_assign(parseNumber<std::int64_t>(parts[1], "instance"), std::move(result));
 }
 
 void Session::defineList(const std::vector<std::string_view>& parts) {
-  slot_ = number<std::size_t>(parts[1], "slot");
-  if (slot_ >= kLists) malformed("slot", parts[1]);
+  slot_ = parseNumber<std::size_t>(parts[1], "slot");
+  if (slot_ >= kListSlots) malformed("slot", parts[1]);
   lists_[slot_].clear();
-  entriesDue_ = number<std::size_t>(parts[2], "number of entries");
+  entriesRemaining_ = parseNumber<std::size_t>(parts[2], "number of entries");
 }
 
 void Session::entry(const std::vector<std::string_view>& parts) {
-  if (parts.size() < 8) malformed("a list entry lacks fields", parts.front());
-  Entry made;
-  made.lifecycle = word<Lifecycle>(
+  if (parts.size() < 8) malformed("missing field in list entry", parts.front());
+  Entry result;
+  result.lifecycle = parseName<Lifecycle>(
       parts[2], "lifecycle",
       {{"SERVING", Lifecycle::serving}, {"DRAINING", Lifecycle::draining}, {"DELETED", Lifecycle::removed}});
-  made.zone = parts[3];
-  made.size = parts[4] == "-" ? 1.0 : number<double>(parts[4], "share");
-  made.since = parts[5] == "-" ? 0 : micros(parts[5], "since_ms");
-  made.cell = parts[6] == "-" ? 0 : number<std::int64_t>(parts[6], "cell");
-  made.name = parts[7];
-  lists_[slot_].push_back(std::move(made));
-  --entriesDue_;
+  result.zone = parts[3];
+  result.size = parts[4] == "-" ? 1.0 : parseNumber<double>(parts[4], "share");
+  result.since = parts[5] == "-" ? 0 : micros(parts[5], "since_ms");
+  result.cell = parts[6] == "-" ? 0 : parseNumber<std::int64_t>(parts[6], "cell");
+  result.name = parts[7];
+  lists_[slot_].push_back(std::move(result));
+  --entriesRemaining_;
 }
 
 }  // namespace rackroute::simwire
--- a/src/simwire/session.hpp
+++ b/src/simwire/session.hpp
@@ -1,5 +1,7 @@
 #pragma once
 
+// Adapter between the simulator's line protocol and balancer instances.
+
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -16,8 +18,8 @@
 
 class Instance;
 
-/// The simulator's wire, line by line: each event becomes a call on a balancer, each answer a line of the
-/// reply.
+/// Processes the simulator's protocol line by line: each event becomes a call to a balancer, and each of its
+/// actions a line of the reply.
 class Session {
  public:
   Session();
@@ -25,9 +27,10 @@
   Session& operator=(const Session&) = delete;
   ~Session();
 
-  /// Reads one line without its end. Returns true when it closed a batch: reply() is then to be written.
+  /// Reads one line without its line end. Returns true at the end of a batch: takeReply() is then to be
+  /// written.
   bool read(std::string_view line);
-  /// The reply to the batch just closed; empty again afterwards.
+  /// Returns the reply to the completed batch and clears it.
   std::string takeReply();
   [[nodiscard]] bool betweenBatches() const { return !inBatch_; }
 
@@ -50,7 +53,7 @@
   std::vector<std::string_view> parts_;
   std::string reply_;
   std::int64_t clock_ = 0;  // microseconds
-  std::size_t entriesDue_ = 0;
+  std::size_t entriesRemaining_ = 0;
   std::size_t slot_ = 0;
   bool inBatch_ = false;
 };
--- a/tests/simwire_test.cpp
+++ b/tests/simwire_test.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a query is forwarded, its failure repeated elsewhere, and its kill forgotten") {
+TEST_CASE("a query is forwarded, retried on another server after a failure, and ignored after RETIRE") {
   Session session;
   CHECK(batch(session, {}) == "END\n");
   CHECK(batch(session, {kStart, "DEFINE_LIST\t0\t2", "SERVER\tk\tSERVING\ta\t1\t-\t0\t10.0.0.1:80",
@@ -37,7 +37,7 @@
   CHECK(batch(session, {"RETIRE\t3", "CANCELLED_BY_CLIENT\t3\t77", "TIMEOUT_FIRED\t3\t0"}) == "END\n");
 }
 
-TEST_CASE("malformed input is refused with its reason") {
+TEST_CASE("malformed input is rejected") {
   const auto* const line =
       GENERATE("NONSENSE\t3", "REQ\t3\t77", "RESULT\t3\tx\t0\ts\t10\t1\t1\t-",
                "RESULT\t3\t1\t0\ts\t11\t1\t1\t-", "RESULT\t3\t1\t0\ts\t10\t1\t1\tlat_ms",
@@ -49,7 +49,7 @@
   CHECK_THROWS_AS(session.read(line), Malformed);
 }
 
-TEST_CASE("an event outside a batch is refused") {
+TEST_CASE("an event outside a batch is rejected") {
   Session session;
   CHECK_THROWS_AS(session.read("RETIRE\t3"), Malformed);
 }
