--- a/src/migrate/main.cpp
+++ b/src/migrate/main.cpp
@@ -65,7 +65,7 @@
                                                : ::link(temporary.c_str(), options.output.c_str()) == 0);
   const int error = errno;
   ::unlink(temporary.c_str());
-  if (!result) throw TranslationError("cannot write " + options.output + ": " + std::strerror(error));
+  if (!result) throw TranslationError(options.output + " cannot be written: " + std::strerror(error));
 }
 
 }  // namespace
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -134,7 +134,7 @@
 }
 
 TEST_CASE(
-    "balancers that start together stagger their discovery calls; a single one or a successor calls at "
+    "balancers that start together stagger their discovery calls, but a single one or a successor calls at "
     "once") {
   BalancerConfig config = fixture::config();
   config.discoveryOnRequest = true;
