--- a/src/lab/mesh/forward_relay.cpp
+++ b/src/lab/mesh/forward_relay.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using sidecar::Reason;
+using sidecar::CloseReason;
 
 constexpr Span kMaxRequestDelay = 1500ms;  // for ResetKind::lateRequest; may exceed the client's deadline
 constexpr Span kMaxResetDelay = 200ms;     // for ResetKind::bothEnds, from the request
@@ -27,11 +27,11 @@
     pieces.text(std::move(bytes));
     send(std::move(pieces));
   }
-  void abort() { endCut(Reason::cut); }
+  void abort() { endWithReset(CloseReason::cut); }
 
  protected:
   void received() override { onRead(std::exchange(in_, {})); }
-  void gone(Reason) override {
+  void closed(CloseReason) override {
     if (onEnded) onEnded();
   }
 };
@@ -99,24 +99,24 @@
   }
 
   void onCallerEnded() {
-    if (!keepsSidecarOpen_) sidecar_->end(Reason::peerClosed);
+    if (!keepsSidecarOpen_) sidecar_->end(CloseReason::peerClosed);
     removeIfEnded();
   }
 
   void onSidecarEnded() {
-    caller_->finish(Reason::peerClosed);
+    caller_->finish(CloseReason::peerClosed);
     removeIfEnded();
   }
 
   void scheduleWithin(Span maxDelay, std::function<void()> task) {
     const Span wait = std::chrono::duration_cast<Span>(maxDelay * fraction(relay_.rng_));
-    relay_.loop_.in(wait, [self = shared_from_this(), task = std::move(task)] { task(); });
+    relay_.loop_.after(wait, [self = shared_from_this(), task = std::move(task)] { task(); });
   }
 
   // Removes the pair when both ends have closed. Deletion is deferred, as a callback of an end is running.
   void removeIfEnded() {
     if (!caller_->ended() || !sidecar_->ended()) return;
-    relay_.loop_.bury(shared_from_this());
+    relay_.loop_.deferDestruction(shared_from_this());
     relay_.pairs_.erase(shared_from_this());
   }
 
--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -26,8 +26,8 @@
 
 void ProcessClients::scheduleArrival() {
   if (context_.now() >= context_.loadEnd || context_.day.requestRate <= 0) return;
-  context_.loop.in(spanOf(-std::log(1 - fraction(arrivalRng_)) / context_.day.requestRate),
-                   [this] { scheduleArrival(); });
+  context_.loop.after(spanOf(-std::log(1 - fraction(arrivalRng_)) / context_.day.requestRate),
+                      [this] { scheduleArrival(); });
   LoadRequest wanted;
   const double kind = fraction(arrivalRng_);
   const bool other = fraction(arrivalRng_) < 0.4;
@@ -135,8 +135,8 @@
   if (const auto retryAfter = response ? response->field("Retry-After") : std::nullopt)
     std::from_chars(retryAfter->data(), retryAfter->data() + retryAfter->size(), backoffSeconds);
   const std::uint32_t to = status == 0 ? anySidecar() : machine;
-  context_.loop.in(std::min<Span>(spanOf(backoffSeconds), (next.deadline - context_.now()) / 3) + 5ms,
-                   [this, to, next] { sendRequest(to, next); });
+  context_.loop.after(std::min<Span>(spanOf(backoffSeconds), (next.deadline - context_.now()) / 3) + 5ms,
+                      [this, to, next] { sendRequest(to, next); });
 }
 
 // Repeats a ratio of the keyed requests after a success.
@@ -147,7 +147,7 @@
   LoadRequest next = wanted;
   next.isRepeat = true;
   next.deadline = context_.now() + spanOf(route.deadline) + 1s;
-  context_.loop.in(spanOf(fraction(rng_)), [this, next] { sendRequest(anySidecar(), next); });
+  context_.loop.after(spanOf(fraction(rng_)), [this, next] { sendRequest(anySidecar(), next); });
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -23,7 +23,7 @@
   http::Gather pieces;
   pieces.text("HTTP/1.1 200 OK\r\n" + fields + "Connection: close\r\n\r\n" + body);
   connection->send(std::move(pieces));
-  connection->finish(sidecar::Reason::done);
+  connection->finish(sidecar::CloseReason::done);
 }
 
 http::Gather apiRequest(const std::string& method, const std::string& path, const std::string& body) {
@@ -70,7 +70,7 @@
   ++server.instanceNo;
   server.up = false;
   for (const auto& entry : std::map(server.listenerContext->connections))
-    entry.second->end(sidecar::Reason::cut);
+    entry.second->end(sidecar::CloseReason::cut);
 }
 
 const ProcessServers::Run* ProcessServers::runOf(std::uint64_t seal) const {
@@ -81,7 +81,8 @@
 void ProcessServers::sendHeartbeat(std::uint32_t machine, std::uint64_t instanceNo) {
   Server& server = servers_.at(machine);
   if (server.instanceNo != instanceNo || !server.up) return;
-  context_.loop.in(kHeartbeatInterval, [this, machine, instanceNo] { sendHeartbeat(machine, instanceNo); });
+  context_.loop.after(kHeartbeatInterval,
+                      [this, machine, instanceNo] { sendHeartbeat(machine, instanceNo); });
   const json body{{"address", context_.machines.addressOf(machine, Port::server).value},
                   {"details",
                    {{"target", serviceName(context_.machines.serviceOf(machine))},
@@ -103,8 +104,8 @@
         if (current.instanceNo != instanceNo || !wasDraining || current.drainAcked >= Span{0}) return;
         if (outcome != RequestOutcome::completed || response->status() / 100 != 2) return;
         current.drainAcked = context_.now();
-        context_.loop.in(kDrainTime + 500ms,
-                         [this, machine, instanceNo] { deregister(machine, instanceNo); });
+        context_.loop.after(kDrainTime + 500ms,
+                            [this, machine, instanceNo] { deregister(machine, instanceNo); });
       });
 }
 
@@ -127,7 +128,7 @@
   if (!attempt) return connection->respond(400, fields, "");
   const std::string fieldsWithId = fields + "Rackroute-Attempt-Id: " + attemptIdHex(*attempt) + "\r\n";
   const auto expected = request.field(kExpectInstanceHeader);
-  if (!server.up) return connection->end(sidecar::Reason::cut);
+  if (!server.up) return connection->end(sidecar::CloseReason::cut);
   if (expected && *expected != server.id) return connection->respond(421, fieldsWithId, "");
   checkUnchanged(*attempt, request);
   context_.judge.requestArrived(context_.now(), *attempt, context_.machines.serviceOf(machine));
@@ -190,7 +191,7 @@
   }
   const std::string fieldsWithId = "Rackroute-Attempt-Id: " + attemptIdHex(work.attempt) + "\r\n";
   if (!inTime) return connection->respond(504, fieldsWithId, "");
-  if (sample < server.lossRatio) return connection->end(sidecar::Reason::cut);
+  if (sample < server.lossRatio) return connection->end(sidecar::CloseReason::cut);
   const bool corrupt = sample < server.lossRatio + server.corruptionRatio;
   if (corrupt && sample < server.lossRatio + server.corruptionRatio / 2)
     return connection->respond(200, "Rackroute-Attempt-Id: 0\r\nConnection: close\r\n", "other");
--- a/src/lab/mesh/processes.cpp
+++ b/src/lab/mesh/processes.cpp
@@ -133,7 +133,7 @@
   lastCheckAt_ = context_.now();
   children_.checkExits();
   if (Children::brokenOff()) return loop_.stop();
-  loop_.in(kCheckInterval, [this] { checkProgress(); });
+  loop_.after(kCheckInterval, [this] { checkProgress(); });
 }
 
 void ProcessMesh::kill(std::uint32_t machine, Span until, bool wiped) {
@@ -147,7 +147,7 @@
 void ProcessMesh::terminate(std::uint32_t machine) {
   if (!day_.keepConnections) clients_.excludeMachine(machine);
   children_.terminate(machine);
-  loop_.in(kGracePeriod, [this, machine, process = children_.idAt(machine), signalledAt = context_.now()] {
+  loop_.after(kGracePeriod, [this, machine, process = children_.idAt(machine), signalledAt = context_.now()] {
     clients_.includeMachine(machine);
     const bool exited = children_.hasExited(machine);
     // Another fault has restarted the process in the meantime.
@@ -164,7 +164,7 @@
   ForwardRelay& relay = *relays_.at(sidecar);
   relay.setResetRatio(fault.magnitude);
   logEvent("resetting a ratio of the connections to " + machines_.nameOf(sidecar));
-  loop_.in(spanOf(fault.duration), [&relay] { relay.setResetRatio(0); });
+  loop_.after(spanOf(fault.duration), [&relay] { relay.setResetRatio(0); });
 }
 
 void ProcessMesh::injectFault(const Fault& fault) {
@@ -172,7 +172,7 @@
   const std::uint32_t sidecar = machines_.sidecarMachine(fault.target);
   const Span until = context_.now() + spanOf(fault.duration);
   const auto afterFault = [&](std::function<void()> task) {
-    loop_.in(spanOf(fault.duration), std::move(task));
+    loop_.after(spanOf(fault.duration), std::move(task));
   };
   switch (fault.kind) {
     case FaultKind::killSidecar:
@@ -237,7 +237,7 @@
   }
   for (std::uint32_t i = 0; i < day_.controls + day_.sidecars; ++i) children_.start(i, true);
   for (std::uint32_t i = 0; i < day_.sidecars; ++i) servers_.startInstance(machines_.sidecarMachine(i));
-  loop_.in(500ms, [this] { operators_.applyInitialConfig(); });
+  loop_.after(500ms, [this] { operators_.applyInitialConfig(); });
   loop_.at(context_.startTime + kWarmUp, [this] { clients_.scheduleArrival(); });
   for (const Fault& fault : day_.faults) {
     loop_.at(context_.startTime + kWarmUp + spanOf(fault.at), [this, fault] { injectFault(fault); });
@@ -252,7 +252,7 @@
 ProcessRunResult ProcessMesh::run() {
   context_.startTime = loop_.now();
   context_.loadEnd = kWarmUp + spanOf(day_.seconds);
-  loop_.guarded([this] { begin(); });
+  loop_.runGuarded([this] { begin(); });
   loop_.run();
   ProcessRunResult result;
   result.figures = finishDay(judge_, operators_.table(), day_.minServedShare, context_.now());
