--- a/bench/routes_bench.cpp
+++ b/bench/routes_bench.cpp
@@ -1,4 +1,4 @@
-// What a look-up in the route table costs, beside a plain scan of the same routes. Prints; judges nothing.
+// Benchmarks lookups in the route table against a linear scan of the same routes.
 
 #include <chrono>
 #include <cstdio>
@@ -12,10 +12,10 @@
 
 using namespace rackroute::routes;
 
-constexpr int kLookUps = 200'000;
-constexpr int kScans = 2'000;  // of the plain scan, which is slow
+constexpr int kLookups = 200'000;
+constexpr int kScans = 2'000;
 
-std::vector<Route> routesOf(std::size_t count) {
+std::vector<Route> makeRoutes(std::size_t count) {
   std::vector<Route> routes;
   for (std::size_t i = 0; i < count; ++i) {
     Route route;
@@ -28,10 +28,10 @@
   return routes;
 }
 
-template <class Deed>
-double nanosEach(int times, const Deed& deed) {
+template <class Operation>
+double meanNanos(int times, const Operation& operation) {
   const auto from = std::chrono::steady_clock::now();
-  for (int i = 0; i < times; ++i) deed(i);
+  for (int i = 0; i < times; ++i) operation(i);
   return std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - from).count() / times;
 }
 
@@ -39,21 +39,21 @@
 
 int main() {
   for (const std::size_t count : {10UL, 100UL, 1'000UL, 10'000UL}) {
-    const std::vector<Route> routes = routesOf(count);
+    const std::vector<Route> routes = makeRoutes(count);
     const Table table(routes);
-    std::mt19937_64 chance(1);
+    std::mt19937_64 random(1);
     std::vector<std::pair<std::string, std::string>> queries;
     for (int i = 0; i < 1000; ++i) {
-      const std::size_t at = chance() % count;
+      const std::size_t at = random() % count;
       queries.emplace_back("service" + std::to_string(at / 10) + ".example.org",
                            "/part" + std::to_string(at % 10) + "/1/2");
     }
     std::size_t found = 0;
-    const double look = nanosEach(kLookUps, [&](int i) {
+    const double lookup = meanNanos(kLookups, [&](int i) {
       const auto& [host, path] = queries[static_cast<std::size_t>(i) % queries.size()];
-      found += table.find({"GET", host, path, "read", {}}, chance()) ? 1 : 0;
+      found += table.find({"GET", host, path, "read", {}}, random()) ? 1 : 0;
     });
-    const double scan = nanosEach(kScans, [&](int i) {
+    const double scan = meanNanos(kScans, [&](int i) {
       const auto& [host, path] = queries[static_cast<std::size_t>(i) % queries.size()];
       std::size_t longest = 0;
       for (const Route& route : routes) {
@@ -62,7 +62,7 @@
       }
       found += longest > 0 ? 1 : 0;
     });
-    std::printf("%6zu routes: table %7.0f ns, scan %9.0f ns a look-up (%zu found)\n", count, look, scan,
+    std::printf("%6zu routes: table %7.0f ns, scan %9.0f ns per lookup (%zu found)\n", count, lookup, scan,
                 found);
   }
 }
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// What members of a fleet say of each other: the words, and which of two words holds. No I/O, no time.
+// Data types of the fleet membership protocol, and the precedence between two states of a member. No I/O and
+// no clock.
 
 #include <compare>
 #include <cstdint>
@@ -14,88 +15,92 @@
 
 namespace rackroute::fleet {
 
-/// A member by its name, the same at every other; none: 0.
+/// Identifies a member by its name, equally at every other member; 0 means none.
 using MemberId = Id<struct MemberTag, std::uint64_t>;
 
-/// FNV-1a of the name, 64 bits.
+/// The 64-bit FNV-1a hash of the name.
 [[nodiscard]] constexpr MemberId memberId(std::string_view name) {
   std::uint64_t value = 0xcbf29ce484222325U;
   for (const char c : name) value = (value ^ static_cast<unsigned char>(c)) * 0x100000001b3U;
   return {value == 0 ? 1 : value};
 }
 
-/// What names, zones and addresses are made of: printable ASCII, no spaces, nothing that JSON or a log line
-/// quotes.
+/// Whether names, zones and addresses may contain the character: printable ASCII other than spaces and the
+/// characters that JSON or a log line escapes.
 [[nodiscard]] constexpr bool isPlain(char c) { return c > ' ' && c <= '~' && c != '"' && c != '\\'; }
 
-/// What does not change in a member's life.
-struct Card {
+/// Properties of a member that stay the same while its process runs.
+struct MemberInfo {
   std::string name;
-  std::string address;  // where others reach it, "127.0.0.1:7946"
+  std::string address;  // where other members reach it, such as "127.0.0.1:7946"
   std::string zone;
 };
-using CardPtr = std::shared_ptr<const Card>;
+using MemberInfoPtr = std::shared_ptr<const MemberInfo>;
 
-/// Which start of a name, and how often that start had to speak up against talk of its death.
-struct Life {
-  std::uint64_t start = 0;  // ms since 1970 by its own clock, moved past any earlier start that others know
+/// Orders the states of one name: the start of its process, then how often that process has refuted a
+/// suspicion or a death.
+struct MemberVersion {
+  std::uint64_t start = 0;  // Unix time in ms by its own clock, raised above any start known to others
   std::uint32_t incarnation = 0;
-  auto operator<=>(const Life&) const = default;
+  auto operator<=>(const MemberVersion&) const = default;
 };
 
-/// In the order in which they outrank each other within one life and incarnation.
+/// Ordered by precedence within one start and incarnation: a later state overrides an earlier one.
 enum class State : std::uint8_t { alive, suspect, dead, left };
 [[nodiscard]] std::string_view nameOf(State state);
 
-/// One member's state as somebody tells it.
-struct Word {
-  CardPtr card;
+/// One member's state as reported by some member.
+struct MemberUpdate {
+  MemberInfoPtr info;
   MemberId id;
-  Life life;
+  MemberVersion version;
   State state = State::alive;
-  Span age{};     // how long it has been dead, or gone
-  MemberId from;  // who suspects it
+  Span age{};        // for dead and left: time since then
+  MemberId accuser;  // for suspect: the member that reported it
 };
 
-/// Whether the first word outranks the second; the same words in any order, doubled or lost, so lead to the
-/// same.
-[[nodiscard]] inline bool outranks(const Life& life, State state, const Life& held, State heldState) {
-  return std::tie(life, state) > std::tie(held, heldState);
+/// Whether the first state takes precedence over the second. The order is total, so views converge however
+/// updates are reordered, duplicated or lost.
+[[nodiscard]] inline bool overrides(const MemberVersion& version, State state, const MemberVersion& current,
+                                    State currentState) {
+  return std::tie(version, state) > std::tie(current, currentState);
 }
 
-/// Bytes that it takes in a message, rather more than less.
-[[nodiscard]] inline std::size_t sizeOf(const Word& word) {
-  constexpr std::size_t kFields = 48;  // numbers, keys and lengths, each at its longest
-  return word.card->name.size() + word.card->address.size() + word.card->zone.size() + kFields;
+/// Upper bound on the bytes that the update takes in a message.
+[[nodiscard]] inline std::size_t maxEncodedSize(const MemberUpdate& update) {
+  constexpr std::size_t kFieldOverhead = 48;  // the largest encoding of numbers, keys and lengths
+  return update.info->name.size() + update.info->address.size() + update.info->zone.size() + kFieldOverhead;
 }
 
-enum class Hearing : std::uint8_t { whole, partial, alone };
-[[nodiscard]] std::string_view nameOf(Hearing hearing);
+/// How much of the fleet a member can reach: all of it, part of it, or none.
+enum class Connectivity : std::uint8_t { full, partial, isolated };
+[[nodiscard]] std::string_view nameOf(Connectivity connectivity);
 
-enum class Kind : std::uint8_t { ping, ack, ask, nack, news };
+/// SWIM's message types; gossip only carries updates.
+enum class MessageKind : std::uint8_t { ping, ack, pingRequest, nack, gossip };
 
 /// One datagram between members.
 struct Message {
-  Kind kind = Kind::news;
-  std::uint32_t number = 0;  // of the probe that it belongs to
-  MemberId about;            // ping: who is meant (none: whoever is there); ask, ack, nack: who is probed
-  Word self;                 // the sender
-  std::uint64_t digest = 0;  // of the sender's view
-  std::vector<Word> words;
+  MessageKind kind = MessageKind::gossip;
+  std::uint32_t probeNumber = 0;  // echoed in replies, to match them to the probe
+  MemberId subject;               // ping: the intended receiver, if any; otherwise: the member that is probed
+  MemberUpdate self;              // the sender
+  std::uint64_t digest = 0;       // of the sender's view
+  std::vector<MemberUpdate> updates;
 };
 
-/// A view falls into parts by its members' ids; two that exchange views tell only the parts that differ.
-inline constexpr std::size_t kParts = 64;
-[[nodiscard]] constexpr std::size_t partOf(MemberId id) { return id.value >> 58U; }
-/// What each part holds, as a digest. Empty: not told, and so all is to be told.
-using Marks = std::vector<std::uint64_t>;
+/// Members are hashed into buckets by id; an exchange transfers only the buckets whose digests differ.
+inline constexpr std::size_t kDigestBuckets = 64;
+[[nodiscard]] constexpr std::size_t bucketOf(MemberId id) { return id.value >> 58U; }
+/// One digest for each bucket. Empty if unknown, which requests the entire view.
+using BucketDigests = std::vector<std::uint64_t>;
 
-/// A view, as members exchange it over a connection.
-struct Whole {
-  Word self;
+/// A view, or the buckets of it that differ, as sent over a connection during an exchange.
+struct ViewMessage {
+  MemberUpdate self;
   std::uint64_t digest = 0;
-  std::vector<Word> words;
-  Marks marks;  // of the view that the words are from
+  std::vector<MemberUpdate> updates;
+  BucketDigests bucketDigests;  // of the sender's entire view
 };
 
 }  // namespace rackroute::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -9,805 +9,824 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kAnswer =
-    0.25;                        // of a period, for a direct answer; a way across zones takes a tenth of that
-constexpr double kJudged = 0.6;  // of a period, for an answer through others too
-constexpr double kNack = 0.8;    // of the time that a helper has; it says by then that it hears nothing
-constexpr std::size_t kHelpers = 3;       // the paper's figure; each reaches the target by another way
-constexpr std::size_t kMostFavours = 64;  // at a time; far above what a healthy fleet asks of one member
-constexpr std::uint32_t kMostIll = 8;     // Lifeguard's figure: a probe every ninth period
-constexpr double kLeastSuspicion = 2;  // periods; a word there and its answer back, in a fleet of a thousand
-constexpr double kCheckSoon = 0.2;     // of a period, until those who check a suspicion probe
-constexpr double kUnanswered = 3;      // periods; one in doubt of itself asks less often still
-constexpr double kUnconfirmed = 3;     // times the shortest suspicion, while nobody else confirms it
-constexpr std::size_t kConfirmed = 2;  // others' probes that end a suspicion soonest
-constexpr double kChecks = 4;          // members of all that check a suspicion they hear of
-constexpr double kSpreadEvery = 0.2;   // of a period
-constexpr std::size_t kFanout = 3;     // members told at a time
-constexpr double kRetell = 4;          // times a word is told, for each tenfold of members
-constexpr std::size_t kRoom = 1100;    // bytes of a datagram, less what the encoding adds around
-constexpr std::size_t kFewChanges = 16;      // more at once go round by exchanges, which are cheaper for many
-constexpr double kExchangeSoon = 0.5;        // of a period, while much changes
-constexpr double kUnsettled = 3;             // periods after much has changed at once
-constexpr double kExchangeSeldom = 30;       // periods, by chance; equal views cost a few bytes
-constexpr std::uint32_t kAgreed = 4;         // views in a row like one's own; then much that changed is known
-constexpr double kExchangeWait = 2;          // periods between two because of views that differ
-constexpr double kLongestExchangeWait = 64;  // periods, where exchanges leave the views different
-constexpr double kReach = 4;                 // a period: tries of the whole fleet to find those it lost
-constexpr double kMostReach = 0.5;           // of a member's periods
-constexpr double kJoinOver = 2;              // periods over which those who start together ask
-constexpr std::uint32_t kAloneQuick = 5;     // tries, one a period, of one that knows nobody
-constexpr double kAloneSlow = 0.2;           // of its periods from then on; a thousand of them ask too
-constexpr double kAccusers = 20;      // members of all that tell one that it is thought dead, an exchange
-constexpr double kTellAccused = 0.1;  // of a period
-constexpr std::size_t kAccusedAtOnce = 2;  // told in that time; the fleet's others tell the rest
-constexpr double kNameAsked = 3;           // periods without an answer; then a name is free
-constexpr double kPartialBelow = 0.75;     // of those that may be running, alive; a quarter out is a cut
-constexpr double kWholeFrom = 0.9;         // of them; well apart from the other
-constexpr double kFalls = 2;               // periods of hearing less, before it says so
-constexpr double kRises = 3;               // periods of hearing more
-constexpr double kStall = 0.5;             // of a period late; no timer of a healthy process is
-constexpr double kDoubtsItself = 3;        // periods after a stall
-constexpr std::size_t kFarewells = 10;     // members told of a leave; one lost in ten leaves nine
-constexpr Span kKeepLeft = 1h;             // above any time that old messages are under way
-constexpr std::uint64_t kLatestStart = std::uint64_t{1} << 52U;  // ms; no clock is there for ages
-constexpr std::uint32_t kLastIncarnation = 0x7fffffffU;          // then a new start; never met in practice
-constexpr std::size_t kLongestName = 64;                         // bytes; of names and zones
+constexpr double kDirectAckPeriods = 0.25;       // periods until a probe is retried through other members
+constexpr double kProbePeriods = 0.6;            // periods until a probe fails
+constexpr double kNackFraction = 0.8;            // of a relayed probe's time, after which a nack is sent
+constexpr std::size_t kIndirectProbes = 3;       // members asked to relay a probe
+constexpr std::size_t kMaxRelayedProbes = 64;    // relayed at the same time
+constexpr std::uint32_t kMaxLocalHealth = 8;     // probes are at most this many periods further apart
+constexpr double kMinSuspicionFactor = 2;        // periods; allows a refutation to spread
+constexpr double kConfirmationProbeDelay = 0.2;  // periods
+constexpr double kMissedReplyPeriods = 3;        // without a reply, after which updates may have been missed
+constexpr double kMaxSuspicionFactor = 3;        // times the minimum suspicion timeout, while unconfirmed
+constexpr std::size_t kExpectedConfirmations = 2;  // that reduce a suspicion to its minimum
+constexpr double kConfirmingMembers = 4;           // expected number of members that probe a suspect at once
+constexpr double kGossipInterval = 0.2;            // periods
+constexpr std::size_t kGossipFanout = 3;           // members per gossip round
+constexpr double kRetransmitMultiplier = 4;        // transmissions of an update, times log10(members)
+constexpr std::size_t kMessageBytes = 1100;        // for updates and the sender, without the envelope
+constexpr std::size_t kGossipChanges = 16;         // larger sets of changes spread by exchanges instead
+constexpr double kBusyExchangeInterval = 0.5;      // periods
+constexpr double kBusyPeriods = 3;                 // after many changes at once
+constexpr double kIdleExchangeInterval = 30;       // periods, on average
+constexpr std::uint32_t kConvergedMessages = 4;   // consecutive equal digests that end gossip of many changes
+constexpr double kMinMismatchWait = 2;            // periods between exchanges triggered by differing digests
+constexpr double kMaxMismatchWait = 64;           // periods, where the views stay different
+constexpr double kReconnectsPerPeriod = 4;        // attempts of the entire fleet to reach lost members
+constexpr double kMaxReconnectProbability = 0.5;  // per member and period
+constexpr double kJoinJitter = 2;                 // periods over which members that start together join
+constexpr std::uint32_t kFastJoinAttempts = 5;    // attempts of an isolated member, one per period
+constexpr double kSlowJoinProbability = 0.2;      // per period, after the fast attempts
+constexpr double kNotifyingMembers = 20;  // expected number that notify an accused member after an exchange
+constexpr double kNotifyInterval = 0.1;   // periods
+constexpr std::size_t kNotifyBatch = 2;   // accused members notified per interval
+constexpr double kNameProbes = 3;  // unanswered probes of another holder of the name, after which it is free
+constexpr double kPartialBelow = 0.75;      // fraction of possibly running members that are alive
+constexpr double kFullFrom = 0.9;           // hysteresis: fraction needed to return to full
+constexpr double kDegradePeriods = 2;       // before lower connectivity is reported
+constexpr double kRecoverPeriods = 3;       // before higher connectivity is reported
+constexpr double kStallThreshold = 0.5;     // periods that a timer is late
+constexpr double kStallPenaltyPeriods = 3;  // with partial connectivity after a stall
+constexpr std::size_t kLeaveFanout = 10;    // members notified of a leave
+constexpr Span kLeftRetention = 1h;         // exceeds the time that old messages are in flight
+constexpr std::uint64_t kMaxStart = std::uint64_t{1} << 52U;  // Unix time in ms; later starts are invalid
+constexpr std::uint32_t kMaxIncarnation = 0x7fffffffU;        // reaching it raises the start instead
+constexpr std::size_t kMaxNameBytes = 64;                     // of names, zones and addresses
 
 Span scaled(Span span, double by) {
   return Span{static_cast<Span::rep>(static_cast<double>(span.count()) * by)};
 }
 
-Word wordOfSelf(Card card, std::uint64_t start) {
-  Word word;
-  word.id = memberId(card.name);
-  word.card = std::make_shared<const Card>(std::move(card));
-  word.life.start = start;
-  return word;
+MemberUpdate initialSelf(MemberInfo info, std::uint64_t start) {
+  MemberUpdate update;
+  update.id = memberId(info.name);
+  update.info = std::make_shared<const MemberInfo>(std::move(info));
+  update.version.start = start;
+  return update;
 }
 
 }  // namespace
 
-Membership::Membership(Card self, std::uint64_t start, std::vector<std::string> join, const Rhythm& rhythm,
-                       std::uint64_t seed, Surroundings& surroundings)
-    : rhythm_(rhythm),
-      surroundings_(surroundings),
-      join_(std::move(join)),
-      chance_(seed),
-      self_(wordOfSelf(std::move(self), start)),
-      view_(rhythm.most, rhythm.keepDead, kKeepLeft) {
-  std::erase(join_, self_.card->address);
+Membership::Membership(MemberInfo self, std::uint64_t start, std::vector<std::string> join,
+                       const MembershipConfig& config, std::uint64_t seed, MembershipHost& host)
+    : config_(config),
+      host_(host),
+      joinAddresses_(std::move(join)),
+      random_(seed),
+      self_(initialSelf(std::move(self), start)),
+      view_(config.maxMembers, config.deadRetention, kLeftRetention) {
+  std::erase(joinAddresses_, self_.info->address);
 }
 
-void Membership::begin(Span now) {
-  if (std::exchange(begun_, true)) notice(now);  // it stepped back for another process that has ended
-  changedAt_ = exchangedAt_ = answeredAt_ = now;
-  exchangeWait_ = scaled(rhythm_.period, kExchangeWait);
-  // Guards against a fleet that starts together and probes together from then on.
-  probeAt_ = now + scaled(rhythm_.period, draw());
-  byChance_ = draw() < 0.5;
-  exchangeAt_ = now + scaled(rhythm_.period, kExchangeSeldom * draw());
-  forgetAt_ = now + 60 * rhythm_.period;
-  if (!rumours_.empty()) spreadAt_ = now;
-  if (!join_.empty() && view_.living() == 0) {
-    hearing_ = Hearing::alone;
-    joinAt_ = now + scaled(rhythm_.period, kJoinOver * draw());
+void Membership::start(Span now) {
+  if (std::exchange(started_, true)) detectStall(now);
+  changedAt_ = exchangedAt_ = repliedAt_ = now;
+  mismatchWait_ = scaled(config_.period, kMinMismatchWait);
+  // Random phases prevent members that start together from probing in lockstep.
+  probeAt_ = now + scaled(config_.period, randomFraction());
+  lastTargetRandom_ = randomFraction() < 0.5;
+  exchangeAt_ = now + scaled(config_.period, kIdleExchangeInterval * randomFraction());
+  expireAt_ = now + 60 * config_.period;
+  if (!gossip_.empty()) gossipAt_ = now;
+  if (!joinAddresses_.empty() && view_.liveCount() == 0) {
+    connectivity_ = Connectivity::isolated;
+    joinAt_ = now + scaled(config_.period, kJoinJitter * randomFraction());
   }
-  plan(now);
+  scheduleTimer(now);
 }
 
-void Membership::know(Span now, const std::vector<Word>& words) {
-  for (const Word& word : words) {
-    if (plausible(word) && word.id != self_.id) view_.take(now, word);
+void Membership::addKnownMembers(Span now, const std::vector<MemberUpdate>& updates) {
+  for (const MemberUpdate& update : updates) {
+    if (isValid(update) && update.id != self_.id) view_.apply(now, update);
   }
 }
 
-void Membership::goOn(const Life& life) {
-  self_.life = life;
-  raise();
+void Membership::resumeAs(const MemberVersion& version) {
+  self_.version = version;
+  refute();
 }
 
 void Membership::leave(Span now) {
-  if (!begun_ || std::exchange(left_, true) || displaced_) return;
+  if (!started_ || std::exchange(left_, true) || displaced_) return;
   self_.state = State::left;
-  for (const Held* member : drawLiving(kFarewells, self_.id)) {
+  for (const MemberRecord* member : drawLiveMembers(kLeaveFanout, self_.id)) {
     Message message;
-    message.kind = Kind::news;
-    send(member->card->address, std::move(message));
+    message.kind = MessageKind::gossip;
+    send(member->info->address, std::move(message));
   }
   changedAt_ = now;
   due_ = Span::max();
 }
 
-// ---- What comes
+// ---- Incoming messages
 
-void Membership::heard(Span now, const Message& message) {
-  if (!begun_ || left_) return;
-  notice(now);
-  if (!plausible(message.self)) {
-    ++figures_.refusedAbsurd;
-    return plan(now);
+void Membership::handleMessage(Span now, const Message& message) {
+  if (!started_ || left_) return;
+  detectStall(now);
+  if (!isValid(message.self)) {
+    ++counters_.rejectedInvalid;
+    return scheduleTimer(now);
   }
   if (message.self.id == self_.id) {
-    rivalSpeaks(message);
-    return plan(now);
+    handleNameConflict(message);
+    return scheduleTimer(now);
   }
   if (displaced_) return;
-  const std::string& address = message.self.card->address;
-  learn(now, message.self, Source::gossip);
-  for (const Word& word : message.words) learn(now, word, Source::gossip);
-  Message answer;
-  answer.number = message.number;
-  answer.about = message.about;
+  const std::string& address = message.self.info->address;
+  applyUpdate(now, message.self, Source::gossip);
+  for (const MemberUpdate& update : message.updates) applyUpdate(now, update, Source::gossip);
+  Message reply;
+  reply.probeNumber = message.probeNumber;
+  reply.subject = message.subject;
   switch (message.kind) {
-    case Kind::ping:
-      if (message.about.value != 0 && message.about != self_.id) {
-        ++figures_.misdirected;
+    case MessageKind::ping:
+      if (message.subject.value != 0 && message.subject != self_.id) {
+        ++counters_.misdirected;
         break;
       }
-      answer.kind = Kind::ack;
-      answer.about = self_.id;
-      send(address, std::move(answer), rhythm_.lifeguard ? wordFor(message.self.id) : std::nullopt);
+      reply.kind = MessageKind::ack;
+      reply.subject = self_.id;
+      send(address, std::move(reply), config_.lifeguard ? updateUnlessAlive(message.self.id) : std::nullopt);
       break;
-    case Kind::ack:
-      if (probe_ && probe_->number == message.number && probe_->target == message.about) {
+    case MessageKind::ack:
+      if (probe_ && probe_->number == message.probeNumber && probe_->target == message.subject) {
         probe_.reset();
-        answered(now, address);
-        feel(-1);
-      } else if (const auto at = favours_.find(message.number);
-                 at != favours_.end() && at->second.target == message.about) {
-        answer.kind = Kind::ack;
-        answer.number = at->second.theirs;
-        const std::string asker = at->second.asker;
-        favours_.erase(at);
-        send(asker, std::move(answer));
+        probeAnswered(now, address);
+        adjustLocalHealth(-1);
+      } else if (const auto at = relayedProbes_.find(message.probeNumber);
+                 at != relayedProbes_.end() && at->second.target == message.subject) {
+        reply.kind = MessageKind::ack;
+        reply.probeNumber = at->second.requesterNumber;
+        const std::string requester = at->second.requester;
+        relayedProbes_.erase(at);
+        send(requester, std::move(reply));
       }
       break;
-    case Kind::ask: {
-      const Held* const target = view_.find(message.about);
-      if (target == nullptr || favours_.size() >= kMostFavours) {
-        answer.kind = Kind::nack;
-        send(address, std::move(answer));
+    case MessageKind::pingRequest: {
+      const MemberRecord* const target = view_.find(message.subject);
+      if (target == nullptr || relayedProbes_.size() >= kMaxRelayedProbes) {
+        reply.kind = MessageKind::nack;
+        send(address, std::move(reply));
         break;
       }
-      const Span window = scaled(rhythm_.period, kJudged - kAnswer);
-      Favour& favour = favours_[++lastNumber_];
-      favour = {address, message.number, message.about, now + scaled(window, kNack), now + window, false};
+      const Span window = scaled(config_.period, kProbePeriods - kDirectAckPeriods);
+      RelayedProbe& relayed = relayedProbes_[++lastProbeNumber_];
+      relayed = {address,         message.probeNumber,
+                 message.subject, now + scaled(window, kNackFraction),
+                 now + window,    false};
       Message ping;
-      ping.kind = Kind::ping;
-      ping.number = lastNumber_;
-      ping.about = message.about;
-      send(target->card->address, std::move(ping), rhythm_.lifeguard ? wordFor(message.about) : std::nullopt);
+      ping.kind = MessageKind::ping;
+      ping.probeNumber = lastProbeNumber_;
+      ping.subject = message.subject;
+      send(target->info->address, std::move(ping),
+           config_.lifeguard ? updateUnlessAlive(message.subject) : std::nullopt);
       break;
     }
-    case Kind::nack:
-      if (probe_ && probe_->number == message.number) {
-        ++probe_->heardOf;
-        answered(now, address);
+    case MessageKind::nack:
+      if (probe_ && probe_->number == message.probeNumber) {
+        ++probe_->indirectReplies;
+        probeAnswered(now, address);
       }
       break;
-    case Kind::news:
+    case MessageKind::gossip:
       break;
   }
-  compare(now, message);
-  plan(now);
+  compareDigests(now, message);
+  scheduleTimer(now);
 }
 
-// Guards against views that stay apart, whatever was lost on the way: those who talk see that they differ.
-void Membership::compare(Span now, const Message& message) {
-  const Held* const sender = view_.find(message.self.id);
+// Starts an exchange if the sender's view differs, so that views converge even where gossip was lost.
+void Membership::compareDigests(Span now, const Message& message) {
+  const MemberRecord* const sender = view_.find(message.self.id);
   if (sender == nullptr || sender->state == State::left) return;
   if (sender->state == State::dead) {
-    // One that was thought dead talks: this heals a fleet that was cut in two. It must say so itself, with a
-    // higher incarnation, as the message may be an old one; and it may know of many more.
-    if (sender->life != message.self.life) return;
-    accused_.insert(sender->id);
-    accuseAt_ = std::min(accuseAt_, now);
-    if (now - exchangedAt_ > rhythm_.period) exchangeNow(now, sender->card->address);
+    // A message from a member thought dead: a network partition may have healed. The message may be old, so
+    // the sender is notified and has to refute its death with a higher incarnation; the exchange recovers
+    // others.
+    if (sender->version != message.self.version) return;
+    toNotify_.insert(sender->id);
+    notifyAt_ = std::min(notifyAt_, now);
+    if (now - exchangedAt_ > config_.period) startExchange(now, sender->info->address);
     return;
   }
   if (message.digest == digest()) {
-    exchangeWait_ = scaled(rhythm_.period, kExchangeWait);
-    // What exchanges have brought to all need not be told on, word by word.
-    if (++agreed_ >= kAgreed && rumours_.size() > kFewChanges) rumours_.clear();
+    mismatchWait_ = scaled(config_.period, kMinMismatchWait);
+    // Exchanges have spread the changes, so gossiping each of them is redundant.
+    if (++matchingDigests_ >= kConvergedMessages && gossip_.size() > kGossipChanges) gossip_.clear();
     return;
   }
-  agreed_ = 0;
-  if (now - changedAt_ > scaled(rhythm_.period, kExchangeWait) && now - exchangedAt_ > exchangeWait_) {
-    // Doubled each time, so that views that can't agree, as one is full, do not cost an exchange a second.
-    exchangeWait_ = std::min(2 * exchangeWait_, scaled(rhythm_.period, kLongestExchangeWait));
-    exchangeNow(now, sender->card->address);
+  matchingDigests_ = 0;
+  if (now - changedAt_ > scaled(config_.period, kMinMismatchWait) && now - exchangedAt_ > mismatchWait_) {
+    // Exponential backoff for views that can't converge, for instance because one is full.
+    mismatchWait_ = std::min(2 * mismatchWait_, scaled(config_.period, kMaxMismatchWait));
+    startExchange(now, sender->info->address);
   }
 }
 
-// One that knows few asks for all, which then costs no more than the marks; the dead are told to it as well.
-Marks Membership::marks() const {
-  if (view_.living() < kParts) return {};
-  Marks made(view_.marks().begin(), view_.marks().end());
-  made[partOf(self_.id)] += View::digestOf(self_.id, self_.life);
-  return made;
+// A small view requests the entire other view, which includes dead members and costs no more than the
+// digests.
+BucketDigests Membership::bucketDigests() const {
+  if (view_.liveCount() < kDigestBuckets) return {};
+  BucketDigests digests(view_.bucketDigests().begin(), view_.bucketDigests().end());
+  digests[bucketOf(self_.id)] += View::digestOf(self_.id, self_.version);
+  return digests;
 }
 
-Whole Membership::question() const { return {self_, digest(), {}, marks()}; }
+ViewMessage Membership::viewRequest() const { return {self_, digest(), {}, bucketDigests()}; }
 
-Whole Membership::whole(Span now, const Marks& theirs) const {
-  Whole made = question();
-  const bool all = theirs.size() != kParts || made.marks.empty();
-  made.words.reserve(all ? view_.all().size() : 0);
-  for (const Held& held : view_.all()) {
-    const std::size_t part = partOf(held.id);
-    if (all || made.marks[part] != theirs[part]) made.words.push_back(wordOf(now, held));
+ViewMessage Membership::viewFor(Span now, const BucketDigests& theirs) const {
+  ViewMessage view = viewRequest();
+  const bool all = theirs.size() != kDigestBuckets || view.bucketDigests.empty();
+  view.updates.reserve(all ? view_.all().size() : 0);
+  for (const MemberRecord& record : view_.all()) {
+    const std::size_t bucket = bucketOf(record.id);
+    if (all || view.bucketDigests[bucket] != theirs[bucket]) view.updates.push_back(updateOf(now, record));
   }
-  return made;
+  return view;
 }
 
-void Membership::merge(Span now, const Whole& theirs) {
-  if (!begun_ || left_ || displaced_ || !plausible(theirs.self)) return;
-  notice(now);
-  merged_.clear();
-  learn(now, theirs.self, Source::exchange);
-  for (const Word& word : theirs.words) learn(now, word, Source::exchange);
+void Membership::merge(Span now, const ViewMessage& theirs) {
+  if (!started_ || left_ || displaced_ || !isValid(theirs.self)) return;
+  detectStall(now);
+  mergedUpdates_.clear();
+  applyUpdate(now, theirs.self, Source::exchange);
+  for (const MemberUpdate& update : theirs.updates) applyUpdate(now, update, Source::exchange);
   exchangedAt_ = now;
-  if (!merged_.empty()) exchangeWait_ = scaled(rhythm_.period, kExchangeWait);
-  if (merged_.size() > kFewChanges) {
-    unsettledUntil_ = now + scaled(rhythm_.period, kUnsettled);
-    exchangeAt_ = std::min(exchangeAt_, now + scaled(rhythm_.period, kExchangeSoon * (0.5 + draw())));
+  if (!mergedUpdates_.empty()) mismatchWait_ = scaled(config_.period, kMinMismatchWait);
+  if (mergedUpdates_.size() > kGossipChanges) {
+    busyUntil_ = now + scaled(config_.period, kBusyPeriods);
+    exchangeAt_ =
+        std::min(exchangeAt_, now + scaled(config_.period, kBusyExchangeInterval * (0.5 + randomFraction())));
   } else {
-    for (const Word& word : merged_) rumours_.add(word);
+    for (const MemberUpdate& update : mergedUpdates_) gossip_.add(update);
   }
-  merged_.clear();
-  plan(now);
+  mergedUpdates_.clear();
+  scheduleTimer(now);
 }
 
-bool Membership::plausible(const Word& word) const {
-  return word.card && !word.card->name.empty() && word.card->name.size() <= kLongestName &&
-         word.card->zone.size() <= kLongestName && !word.card->address.empty() &&
-         word.card->address.size() <= kLongestName && word.life.start < kLatestStart &&
-         word.life.incarnation < kLastIncarnation;
+bool Membership::isValid(const MemberUpdate& update) const {
+  return update.info && !update.info->name.empty() && update.info->name.size() <= kMaxNameBytes &&
+         update.info->zone.size() <= kMaxNameBytes && !update.info->address.empty() &&
+         update.info->address.size() <= kMaxNameBytes && update.version.start < kMaxStart &&
+         update.version.incarnation < kMaxIncarnation;
 }
 
-void Membership::learn(Span now, const Word& word, Source source) {
-  if (!plausible(word)) {
-    ++figures_.refusedAbsurd;
+void Membership::applyUpdate(Span now, const MemberUpdate& update, Source source) {
+  if (!isValid(update)) {
+    ++counters_.rejectedInvalid;
     return;
   }
-  if (word.id == self_.id) return learnOfSelf(now, word);
-  const Held* const held = view_.find(word.id);
-  Word taken = word;
-  if (held != nullptr) {
-    const bool living = held->state == State::alive || held->state == State::suspect;
-    if (word.state == State::suspect && held->state == State::suspect && word.life == held->life)
-      return suspect(now, *held, word.from, false);
-    if (!outranks(word.life, word.state, held->life, held->state)) {
-      // It lives for others and is dead here: it is to hear of that, as only it can end that.
-      if (source == Source::exchange && held->state == State::dead && word.life == held->life &&
-          word.state != State::left)
-        accuse(now, held->id);
+  if (update.id == self_.id) return applyUpdateOfSelf(now, update);
+  const MemberRecord* const record = view_.find(update.id);
+  MemberUpdate applied = update;
+  if (record != nullptr) {
+    const bool isLive = record->state == State::alive || record->state == State::suspect;
+    if (update.state == State::suspect && record->state == State::suspect &&
+        update.version == record->version)
+      return addSuspicion(now, *record, update.accuser, false);
+    if (!overrides(update.version, update.state, record->version, record->state)) {
+      // Alive for others but dead here: notify the member, as only it can refute its death.
+      if (source == Source::exchange && record->state == State::dead && update.version == record->version &&
+          update.state != State::left)
+        scheduleNotification(now, record->id);
       return;
     }
-    // Guards against a part of the fleet that was cut off and has buried all of this one: in an exchange a
-    // death is a suspicion, and the suspect is told, so that it can speak up.
-    if (source == Source::exchange && word.state == State::dead && living &&
-        held->life.start == word.life.start) {
-      if (held->state == State::suspect && held->life == word.life) return;
-      taken.state = State::suspect;
-      taken.from = word.from;
-      accuse(now, word.id);
+    // A partition may have declared all members on this side dead. A death that arrives by exchange is
+    // therefore applied as a suspicion, and the suspect is notified so that it can refute it.
+    if (source == Source::exchange && update.state == State::dead && isLive &&
+        record->version.start == update.version.start) {
+      if (record->state == State::suspect && record->version == update.version) return;
+      applied.state = State::suspect;
+      applied.accuser = update.accuser;
+      scheduleNotification(now, update.id);
     }
   }
-  const std::optional<State> was = held != nullptr ? std::optional(held->state) : std::nullopt;
-  const View::Taken how = view_.take(now, taken);
-  if (how == View::Taken::full) ++figures_.refusedFull;
-  if (how == View::Taken::nothing || how == View::Taken::full) return;
+  const std::optional<State> was = record != nullptr ? std::optional(record->state) : std::nullopt;
+  const View::ApplyResult result = view_.apply(now, applied);
+  if (result == View::ApplyResult::full) ++counters_.rejectedFull;
+  if (result == View::ApplyResult::ignored || result == View::ApplyResult::full) return;
   changedAt_ = now;
-  agreed_ = 0;
-  const Held& made = *view_.find(taken.id);
-  if (how == View::Taken::fresh) {
-    // At a random place, so that those who are new are probed as soon as others.
-    order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(pick(order_.size() + 1)), taken.id);
-  }
-  suspicions_.erase(taken.id);
-  if (taken.state != State::suspect) accused_.erase(taken.id);
-  source == Source::exchange ? merged_.push_back(taken) : rumours_.add(taken);
-  if (rumours_.size() > 4 * kFewChanges)
-    exchangeAt_ = std::min(exchangeAt_, now + scaled(rhythm_.period, kExchangeSoon * (0.5 + draw())));
-  announce(now, made, was);
-  if (taken.state != State::suspect) return;
-  suspect(now, made, taken.from, source == Source::own);
-  // A few of all look for themselves at once: they confirm it, or have it refuted, in little more than a
-  // period.
-  if (source != Source::own && rhythm_.lifeguard && draw() * static_cast<double>(view_.living()) < kChecks)
-    checkSoon(now, taken.id);
-}
-
-void Membership::checkSoon(Span now, MemberId id) {
-  order_.push_back(id);
-  ++checks_;
-  if (!probe_) probeAt_ = std::min(probeAt_, now + scaled(rhythm_.period, kCheckSoon * draw()));
-}
-
-void Membership::announce(Span now, const Held& held, std::optional<State> was) {
-  spreadAt_ = std::min(spreadAt_, now + scaled(rhythm_.period, kSpreadEvery * draw()));
-  if (was != held.state) surroundings_.changed(held, was);
-}
-
-void Membership::suspect(Span now, const Held& held, MemberId by, bool own) {
-  Suspicion& suspicion = suspicions_[held.id];
-  if (suspicion.by.empty()) {
-    suspicion.life = held.life;
-    suspicion.begun = now;
-  }
-  const bool confirms = suspicion.by.insert(by).second;
-  suspicion.ends = deadline(suspicion);
-  ripeAt_ = std::min(ripeAt_, suspicion.ends);
-  if (!confirms || suspicion.by.size() == 1) return;
-  // The first few that confirm it are told on, as they shorten it everywhere.
-  if (suspicion.by.size() > kConfirmed + 1 || !rhythm_.lifeguard) return;
-  Word word = wordOf(now, held);
-  word.from = by;
-  rumours_.add(word);
+  matchingDigests_ = 0;
+  const MemberRecord& updated = *view_.find(applied.id);
+  if (result == View::ApplyResult::added) {
+    // At a random position, so that new members are probed as soon as others.
+    probeOrder_.insert(probeOrder_.begin() + static_cast<std::ptrdiff_t>(randomIndex(probeOrder_.size() + 1)),
+                       applied.id);
+  }
+  suspicions_.erase(applied.id);
+  if (applied.state != State::suspect) toNotify_.erase(applied.id);
+  source == Source::exchange ? mergedUpdates_.push_back(applied) : gossip_.add(applied);
+  if (gossip_.size() > 4 * kGossipChanges)
+    exchangeAt_ =
+        std::min(exchangeAt_, now + scaled(config_.period, kBusyExchangeInterval * (0.5 + randomFraction())));
+  reportChange(now, updated, was);
+  if (applied.state != State::suspect) return;
+  addSuspicion(now, updated, applied.accuser, source == Source::own);
+  // A few members probe the suspect at once, which confirms or refutes the suspicion in about one period.
+  if (source != Source::own && config_.lifeguard &&
+      randomFraction() * static_cast<double>(view_.liveCount()) < kConfirmingMembers)
+    probeSoon(now, applied.id);
+}
+
+void Membership::probeSoon(Span now, MemberId id) {
+  probeOrder_.push_back(id);
+  ++confirmationProbes_;
+  if (!probe_)
+    probeAt_ = std::min(probeAt_, now + scaled(config_.period, kConfirmationProbeDelay * randomFraction()));
+}
+
+void Membership::reportChange(Span now, const MemberRecord& record, std::optional<State> was) {
+  gossipAt_ = std::min(gossipAt_, now + scaled(config_.period, kGossipInterval * randomFraction()));
+  if (was != record.state) host_.memberChanged(record, was);
+}
+
+void Membership::addSuspicion(Span now, const MemberRecord& record, MemberId accuser, bool own) {
+  Suspicion& suspicion = suspicions_[record.id];
+  if (suspicion.accusers.empty()) {
+    suspicion.version = record.version;
+    suspicion.startedAt = now;
+  }
+  const bool isNewAccuser = suspicion.accusers.insert(accuser).second;
+  suspicion.endsAt = suspicionDeadline(suspicion);
+  suspicionEndsAt_ = std::min(suspicionEndsAt_, suspicion.endsAt);
+  if (!isNewAccuser || suspicion.accusers.size() == 1) return;
+  // The first confirmations are gossiped, as they shorten the timeout everywhere.
+  if (suspicion.accusers.size() > kExpectedConfirmations + 1 || !config_.lifeguard) return;
+  MemberUpdate update = updateOf(now, record);
+  update.accuser = accuser;
+  gossip_.add(update);
   if (own) changedAt_ = now;
-  spreadAt_ = std::min(spreadAt_, now + scaled(rhythm_.period, kSpreadEvery * draw()));
-}
-
-// Lifeguard's dogpile: long while one member alone says so, shorter with each that confirms it.
-Span Membership::deadline(const Suspicion& suspicion) const {
-  const auto members = static_cast<double>(view_.living() + 1);
-  const Span least =
-      scaled(rhythm_.period, rhythm_.suspicion * std::max(kLeastSuspicion, std::log10(members) - 1));
-  if (!rhythm_.lifeguard) return suspicion.begun + least;
-  const Span most = scaled(least, kUnconfirmed);
-  const double wanted = std::min(static_cast<double>(kConfirmed), members - 2);
-  if (wanted < 1) return suspicion.begun + most;
-  const double confirmed = std::min(static_cast<double>(suspicion.by.size() - 1), wanted);
-  const double part = std::log(confirmed + 1) / std::log(wanted + 1);
-  return suspicion.begun + most - scaled(most - least, part);
-}
-
-void Membership::settleSuspicions(Span now) {
-  if (now < ripeAt_) return;
-  ripeAt_ = Span::max();
-  std::vector<MemberId> over;
+  gossipAt_ = std::min(gossipAt_, now + scaled(config_.period, kGossipInterval * randomFraction()));
+}
+
+// Lifeguard's dogpile: the timeout starts long and shrinks with each independent confirmation.
+Span Membership::suspicionDeadline(const Suspicion& suspicion) const {
+  const auto members = static_cast<double>(view_.liveCount() + 1);
+  const Span minTimeout = scaled(
+      config_.period, config_.suspicionMultiplier * std::max(kMinSuspicionFactor, std::log10(members) - 1));
+  if (!config_.lifeguard) return suspicion.startedAt + minTimeout;
+  const Span maxTimeout = scaled(minTimeout, kMaxSuspicionFactor);
+  const double expected = std::min(static_cast<double>(kExpectedConfirmations), members - 2);
+  if (expected < 1) return suspicion.startedAt + maxTimeout;
+  const double confirmed = std::min(static_cast<double>(suspicion.accusers.size() - 1), expected);
+  const double reduction = std::log(confirmed + 1) / std::log(expected + 1);
+  return suspicion.startedAt + maxTimeout - scaled(maxTimeout - minTimeout, reduction);
+}
+
+void Membership::expireSuspicions(Span now) {
+  if (now < suspicionEndsAt_) return;
+  suspicionEndsAt_ = Span::max();
+  std::vector<MemberId> expired;
   for (const auto& [id, suspicion] : suspicions_) {
-    if (suspicion.ends <= now)
-      over.push_back(id);
+    if (suspicion.endsAt <= now)
+      expired.push_back(id);
     else
-      ripeAt_ = std::min(ripeAt_, suspicion.ends);
+      suspicionEndsAt_ = std::min(suspicionEndsAt_, suspicion.endsAt);
   }
-  for (const MemberId id : over) {
-    const Held* const held = view_.find(id);
-    if (held == nullptr || held->state != State::suspect) {
+  for (const MemberId id : expired) {
+    const MemberRecord* const record = view_.find(id);
+    if (record == nullptr || record->state != State::suspect) {
       suspicions_.erase(id);
       continue;
     }
-    ++figures_.deaths;
-    Word word = wordOf(now, *held);
-    word.state = State::dead;
-    learn(now, word, Source::own);
+    ++counters_.deaths;
+    MemberUpdate update = updateOf(now, *record);
+    update.state = State::dead;
+    applyUpdate(now, update, Source::own);
   }
 }
 
-// ---- Talk of itself
+// ---- Updates about this member
 
-void Membership::raise() {
-  if (++self_.life.incarnation >= kLastIncarnation) {
-    ++self_.life.start;
-    self_.life.incarnation = 0;
+void Membership::refute() {
+  if (++self_.version.incarnation >= kMaxIncarnation) {
+    ++self_.version.start;
+    self_.version.incarnation = 0;
   }
-  rumours_.add(self_);
+  gossip_.add(self_);
 }
 
-void Membership::learnOfSelf(Span now, const Word& word) {
-  const bool here = word.card->address == self_.card->address;
-  const bool living = word.state == State::alive || word.state == State::suspect;
-  const auto rank = [](const Word& of) { return std::pair(of.life.start, of.card->address); };
-  if (here || !living) {
-    if (displaced_ || word.life < self_.life ||
-        (here && word.life == self_.life && word.state == State::alive))
+void Membership::applyUpdateOfSelf(Span now, const MemberUpdate& update) {
+  const bool sameAddress = update.info->address == self_.info->address;
+  const bool isLive = update.state == State::alive || update.state == State::suspect;
+  const auto rank = [](const MemberUpdate& of) { return std::pair(of.version.start, of.info->address); };
+  if (sameAddress || !isLive) {
+    if (displaced_ || update.version < self_.version ||
+        (sameAddress && update.version == self_.version && update.state == State::alive))
       return;
-    if (word.life.start == self_.life.start && word.state != State::alive) {
-      ++figures_.refuted;
-      feel(1);
+    if (update.version.start == self_.version.start && update.state != State::alive) {
+      ++counters_.refuted;
+      adjustLocalHealth(1);
     }
-    // Also a start of before with a clock that was ahead: this one is the later, whatever the clock says.
-    if (word.life.start > self_.life.start) self_.life.start = word.life.start + 1;
-    self_.life.incarnation = std::max(self_.life.incarnation, word.life.incarnation);
-    raise();
-    spreadAt_ = std::min(spreadAt_, now);
+    // An earlier process may have started with a clock that was ahead; this process must rank above it.
+    if (update.version.start > self_.version.start) self_.version.start = update.version.start + 1;
+    self_.version.incarnation = std::max(self_.version.incarnation, update.version.incarnation);
+    refute();
+    gossipAt_ = std::min(gossipAt_, now);
     return;
   }
-  if (rank(word) < rank(self_)) return;  // another process with this name, an earlier one: it will give way
-  // A later start elsewhere: another process with this name, or one that ran there before, with a clock that
-  // was ahead. It is asked; words of others alone do not make this one give way.
-  if (rival_ != word.card->address) {
-    rival_ = word.card->address;
-    unanswered_ = 0;
-  }
-  rivalLife_ = std::max(rivalLife_, word.life);
-}
-
-// Guards against two processes that each think the name theirs: the later start has it, and the other is
-// quiet.
-void Membership::rivalSpeaks(const Message& message) {
-  const Word& rival = message.self;
-  if (rival.card->address == self_.card->address) return;
-  if (std::pair(rival.life.start, rival.card->address) > std::pair(self_.life.start, self_.card->address)) {
-    rival_ = rival.card->address;
-    rivalLife_ = rival.life;
-    unanswered_ = 0;
-    if (!std::exchange(displaced_, true)) surroundings_.nameTaken(true, rival_);
-  } else if (!displaced_ && message.kind == Kind::ping) {
-    Message answer;
-    answer.kind = Kind::ack;
-    answer.number = message.number;
-    send(rival.card->address, std::move(answer));
-  }
-}
-
-void Membership::askForName(Span now) {
-  if (rival_.empty()) return;
-  if (unanswered_++ < static_cast<std::uint32_t>(kNameAsked)) {
+  if (rank(update) < rank(self_)) return;  // an earlier process with this name, which will yield
+  // A later start at another address: another process with this name, or an earlier one whose clock was
+  // ahead. It is probed first; this member doesn't yield on the report of a third party alone.
+  if (conflictAddress_ != update.info->address) {
+    conflictAddress_ = update.info->address;
+    nameProbes_ = 0;
+  }
+  conflictVersion_ = std::max(conflictVersion_, update.version);
+}
+
+// Resolves a name used by two processes: the later start keeps it, the other stops participating.
+void Membership::handleNameConflict(const Message& message) {
+  const MemberUpdate& rival = message.self;
+  if (rival.info->address == self_.info->address) return;
+  if (std::pair(rival.version.start, rival.info->address) >
+      std::pair(self_.version.start, self_.info->address)) {
+    conflictAddress_ = rival.info->address;
+    conflictVersion_ = rival.version;
+    nameProbes_ = 0;
+    if (!std::exchange(displaced_, true)) host_.nameConflict(true, conflictAddress_);
+  } else if (!displaced_ && message.kind == MessageKind::ping) {
+    Message reply;
+    reply.kind = MessageKind::ack;
+    reply.probeNumber = message.probeNumber;
+    send(rival.info->address, std::move(reply));
+  }
+}
+
+void Membership::probeNameHolder(Span now) {
+  if (conflictAddress_.empty()) return;
+  if (nameProbes_++ < static_cast<std::uint32_t>(kNameProbes)) {
     Message ping;
-    ping.kind = Kind::ping;
-    ping.number = ++lastNumber_;
-    ping.about = self_.id;
-    send(rival_, std::move(ping));
+    ping.kind = MessageKind::ping;
+    ping.probeNumber = ++lastProbeNumber_;
+    ping.subject = self_.id;
+    send(conflictAddress_, std::move(ping));
     return;
   }
-  // Nobody is there any more: the name is this one's, with a start later than any that is told of.
-  self_.life.start = std::max(self_.life.start, rivalLife_.start + 1);
-  raise();
-  spreadAt_ = std::min(spreadAt_, now);
-  const std::string by = std::exchange(rival_, {});
-  if (std::exchange(displaced_, false)) surroundings_.nameTaken(false, by);
+  // The other process is gone: take the name with a start later than any that was reported.
+  self_.version.start = std::max(self_.version.start, conflictVersion_.start + 1);
+  refute();
+  gossipAt_ = std::min(gossipAt_, now);
+  const std::string by = std::exchange(conflictAddress_, {});
+  if (std::exchange(displaced_, false)) host_.nameConflict(false, by);
 }
 
 // ---- Probes
 
-void Membership::probeNext(Span now) {
-  probeAt_ = now + scaled(rhythm_.period, 1.0 + ill_);
-  askForName(now);
+void Membership::startProbe(Span now) {
+  probeAt_ = now + scaled(config_.period, 1.0 + localHealth_);
+  probeNameHolder(now);
   if (displaced_) return;
-  reachOut(now);
-  const Held* const target = nextTarget();
+  reconnect(now);
+  const MemberRecord* const target = nextProbeTarget();
   if (target == nullptr) return;
-  ++figures_.probes;
+  ++counters_.probes;
   probe_ = Probe{};
   probe_->target = target->id;
-  probe_->address = target->card->address;
-  probe_->number = ++lastNumber_;
-  probe_->askOthersAt = now + scaled(rhythm_.period, kAnswer * (1 + ill_));
-  probe_->endsAt = now + scaled(rhythm_.period, kJudged * (1 + ill_));
+  probe_->address = target->info->address;
+  probe_->number = ++lastProbeNumber_;
+  probe_->indirectAt = now + scaled(config_.period, kDirectAckPeriods * (1 + localHealth_));
+  probe_->endsAt = now + scaled(config_.period, kProbePeriods * (1 + localHealth_));
   Message ping;
-  ping.kind = Kind::ping;
-  ping.number = probe_->number;
-  ping.about = target->id;
-  send(probe_->address, std::move(ping), rhythm_.lifeguard ? wordFor(target->id) : std::nullopt);
+  ping.kind = MessageKind::ping;
+  ping.probeNumber = probe_->number;
+  ping.subject = target->id;
+  send(probe_->address, std::move(ping), config_.lifeguard ? updateUnlessAlive(target->id) : std::nullopt);
 }
 
-// Guards against a death that chance finds late, as nobody happens to probe that one: every second probe goes
-// to the next member by id, so that each has one other that comes back to it.
-const Held* Membership::nextTarget() {
-  const auto lives = [](const Held& held) {
-    return held.state == State::alive || held.state == State::suspect;
+// Every second probe goes to the next live member by id, so that each member is probed regularly by one other
+// and its death is not found late by chance.
+const MemberRecord* Membership::nextProbeTarget() {
+  const auto isLive = [](const MemberRecord& record) {
+    return record.state == State::alive || record.state == State::suspect;
   };
-  const std::vector<Held>& all = view_.all();
-  if (checks_ > 0) {
-    --checks_;
-  } else if (rhythm_.lifeguard && std::exchange(byChance_, !byChance_)) {
-    const auto from = std::ranges::upper_bound(all, self_.id, {}, &Held::id);
-    auto next = std::find_if(from, all.end(), lives);
-    if (next == all.end()) next = std::find_if(all.begin(), from, lives);
+  const std::vector<MemberRecord>& all = view_.all();
+  if (confirmationProbes_ > 0) {
+    --confirmationProbes_;
+  } else if (config_.lifeguard && std::exchange(lastTargetRandom_, !lastTargetRandom_)) {
+    const auto from = std::ranges::upper_bound(all, self_.id, {}, &MemberRecord::id);
+    auto next = std::find_if(from, all.end(), isLive);
+    if (next == all.end()) next = std::find_if(all.begin(), from, isLive);
     return next == all.end() ? nullptr : &*next;
   }
   for (int round = 0; round < 2; ++round) {
-    while (!order_.empty()) {
-      const Held* const target = view_.find(order_.back());
-      order_.pop_back();
-      if (target != nullptr && lives(*target)) return target;
+    while (!probeOrder_.empty()) {
+      const MemberRecord* const target = view_.find(probeOrder_.back());
+      probeOrder_.pop_back();
+      if (target != nullptr && isLive(*target)) return target;
     }
-    for (const Held& held : all) {
-      if (lives(held)) order_.push_back(held.id);
+    for (const MemberRecord& record : all) {
+      if (isLive(record)) probeOrder_.push_back(record.id);
     }
-    std::shuffle(order_.begin(), order_.end(), chance_);
+    std::shuffle(probeOrder_.begin(), probeOrder_.end(), random_);
   }
   return nullptr;
 }
 
-void Membership::followProbe(Span now) {
+void Membership::continueProbe(Span now) {
   if (!probe_) return;
-  if (now >= probe_->askOthersAt) {
-    probe_->askOthersAt = Span::max();
-    for (const Held* helper : drawLiving(kHelpers, probe_->target)) {
-      Message ask;
-      ask.kind = Kind::ask;
-      ask.number = probe_->number;
-      ask.about = probe_->target;
-      ++probe_->asked;
-      send(helper->card->address, std::move(ask));
+  if (now >= probe_->indirectAt) {
+    probe_->indirectAt = Span::max();
+    for (const MemberRecord* helper : drawLiveMembers(kIndirectProbes, probe_->target)) {
+      Message request;
+      request.kind = MessageKind::pingRequest;
+      request.probeNumber = probe_->number;
+      request.subject = probe_->target;
+      ++probe_->indirectRequests;
+      send(helper->info->address, std::move(request));
     }
   }
   if (now < probe_->endsAt) return;
-  const Probe over = *std::exchange(probe_, std::nullopt);
-  ++figures_.probesLost;
-  if (over.heardOf == 0) ++unheard_;
-  feel(over.asked > 0 ? static_cast<int>(over.asked) - static_cast<int>(std::min(over.heardOf, over.asked))
-                      : 1);
-  const Held* const held = view_.find(over.target);
-  if (held == nullptr || (held->state != State::alive && held->state != State::suspect)) return;
-  ++figures_.suspicions;
-  if (held->state == State::suspect) return suspect(now, *held, self_.id, true);
-  Word word = wordOf(now, *held);
-  word.state = State::suspect;
-  word.from = self_.id;
-  learn(now, word, Source::own);
-}
-
-void Membership::settleFavours(Span now) {
-  for (auto at = favours_.begin(); at != favours_.end();) {
-    Favour& favour = at->second;
-    if (!favour.told && now >= favour.nackAt) {
-      favour.told = true;
-      if (rhythm_.lifeguard) {
+  const Probe expired = *std::exchange(probe_, std::nullopt);
+  ++counters_.probesLost;
+  if (expired.indirectReplies == 0) ++unansweredProbes_;
+  adjustLocalHealth(expired.indirectRequests > 0
+                        ? static_cast<int>(expired.indirectRequests) -
+                              static_cast<int>(std::min(expired.indirectReplies, expired.indirectRequests))
+                        : 1);
+  const MemberRecord* const record = view_.find(expired.target);
+  if (record == nullptr || (record->state != State::alive && record->state != State::suspect)) return;
+  ++counters_.suspicions;
+  if (record->state == State::suspect) return addSuspicion(now, *record, self_.id, true);
+  MemberUpdate update = updateOf(now, *record);
+  update.state = State::suspect;
+  update.accuser = self_.id;
+  applyUpdate(now, update, Source::own);
+}
+
+void Membership::continueRelayedProbes(Span now) {
+  for (auto at = relayedProbes_.begin(); at != relayedProbes_.end();) {
+    RelayedProbe& relayed = at->second;
+    if (!relayed.nackSent && now >= relayed.nackAt) {
+      relayed.nackSent = true;
+      if (config_.lifeguard) {
         Message nack;
-        nack.kind = Kind::nack;
-        nack.number = favour.theirs;
-        nack.about = favour.target;
-        send(favour.asker, std::move(nack));
+        nack.kind = MessageKind::nack;
+        nack.probeNumber = relayed.requesterNumber;
+        nack.subject = relayed.target;
+        send(relayed.requester, std::move(nack));
       }
     }
-    at = now >= favour.endsAt ? favours_.erase(at) : std::next(at);
+    at = now >= relayed.endsAt ? relayedProbes_.erase(at) : std::next(at);
   }
 }
 
-// Guards against two parts of a fleet that have each buried the other, and against one that started while all
-// whom it could ask were away: those thought dead, and the addresses of the start, are tried now and then.
-// The whole fleet together does so a few times a period, however large it is.
-void Membership::reachOut(Span now) {
+// Contacts dead members and unknown join addresses from time to time, so that healed partitions merge again
+// and a member that started alone finds the fleet. The rate over the entire fleet doesn't depend on its size.
+void Membership::reconnect(Span now) {
   if (joinAt_ != Span::max()) return;
-  const bool alone = view_.living() == 0;
-  const auto living = static_cast<double>(view_.living() + 1);
-  if (!alone) aloneTries_ = 0;
-  const double often = alone ? (++aloneTries_ <= kAloneQuick ? 1 : kAloneSlow) : kReach / living;
-  if (draw() > (alone ? often : std::min(kMostReach, often))) return;
-  std::vector<const Held*> dead;
-  for (const Held& held : view_.all()) {
-    if (held.state == State::dead) dead.push_back(&held);
+  const bool isolated = view_.liveCount() == 0;
+  const auto liveCount = static_cast<double>(view_.liveCount() + 1);
+  if (!isolated) isolatedAttempts_ = 0;
+  const double probability = isolated ? (++isolatedAttempts_ <= kFastJoinAttempts ? 1 : kSlowJoinProbability)
+                                      : kReconnectsPerPeriod / liveCount;
+  if (randomFraction() > (isolated ? probability : std::min(kMaxReconnectProbability, probability))) return;
+  std::vector<const MemberRecord*> dead;
+  for (const MemberRecord& record : view_.all()) {
+    if (record.state == State::dead) dead.push_back(&record);
   }
   std::vector<std::string> addresses;
-  for (const std::string& address : join_) {
-    if (std::ranges::none_of(view_.all(), [&](const Held& held) {
-          return held.state != State::left && held.card->address == address;
+  for (const std::string& address : joinAddresses_) {
+    if (std::ranges::none_of(view_.all(), [&](const MemberRecord& record) {
+          return record.state != State::left && record.info->address == address;
         }))
       addresses.push_back(address);
   }
   const std::size_t all = dead.size() + addresses.size();
   if (all == 0) return;
-  const std::size_t place = pick(all);
-  if (alone)
-    return exchangeNow(now,
-                       place < dead.size() ? dead[place]->card->address : addresses[place - dead.size()]);
+  const std::size_t index = randomIndex(all);
+  if (isolated)
+    return startExchange(now,
+                         index < dead.size() ? dead[index]->info->address : addresses[index - dead.size()]);
   Message ping;
-  ping.kind = Kind::ping;
-  ping.number = ++lastNumber_;
-  if (place >= dead.size()) return send(addresses[place - dead.size()], std::move(ping));
-  ping.about = dead[place]->id;
-  send(dead[place]->card->address, std::move(ping), wordFor(dead[place]->id));
+  ping.kind = MessageKind::ping;
+  ping.probeNumber = ++lastProbeNumber_;
+  if (index >= dead.size()) return send(addresses[index - dead.size()], std::move(ping));
+  ping.subject = dead[index]->id;
+  send(dead[index]->info->address, std::move(ping), updateUnlessAlive(dead[index]->id));
 }
 
-// ---- Telling on
+// ---- Dissemination
 
-void Membership::spread(Span now) {
-  if (rumours_.empty()) {
-    spreadAt_ = Span::max();
+void Membership::sendGossip(Span now) {
+  if (gossip_.empty()) {
+    gossipAt_ = Span::max();
     return;
   }
-  spreadAt_ = now + scaled(rhythm_.period, kSpreadEvery);
-  for (const Held* member : drawLiving(kFanout, self_.id)) send(member->card->address, Message{});
+  gossipAt_ = now + scaled(config_.period, kGossipInterval);
+  for (const MemberRecord* member : drawLiveMembers(kGossipFanout, self_.id))
+    send(member->info->address, Message{});
 }
 
-// A few of all who learn of it tell it, or a thousand would.
-void Membership::accuse(Span now, MemberId id) {
-  if (draw() * static_cast<double>(view_.living()) >= kAccusers) return;
-  accused_.insert(id);
-  accuseAt_ = std::min(accuseAt_, now + scaled(rhythm_.period, kTellAccused * draw()));
+// Only a random few of the members that learn of a dispute notify the accused, to bound its load.
+void Membership::scheduleNotification(Span now, MemberId id) {
+  if (randomFraction() * static_cast<double>(view_.liveCount()) >= kNotifyingMembers) return;
+  toNotify_.insert(id);
+  notifyAt_ = std::min(notifyAt_, now + scaled(config_.period, kNotifyInterval * randomFraction()));
 }
 
-void Membership::tellAccused(Span now) {
-  for (std::size_t told = 0; told < kAccusedAtOnce && !accused_.empty();) {
-    auto at = accused_.begin();
-    std::advance(at, static_cast<std::ptrdiff_t>(pick(accused_.size())));
-    const Held* const held = view_.find(*at);
-    accused_.erase(at);
-    if (held == nullptr) continue;
-    if (const std::optional<Word> word = wordFor(held->id)) {
-      ++told;
-      send(held->card->address, Message{}, word);
+void Membership::notifyAccused(Span now) {
+  for (std::size_t notified = 0; notified < kNotifyBatch && !toNotify_.empty();) {
+    auto at = toNotify_.begin();
+    std::advance(at, static_cast<std::ptrdiff_t>(randomIndex(toNotify_.size())));
+    const MemberRecord* const record = view_.find(*at);
+    toNotify_.erase(at);
+    if (record == nullptr) continue;
+    if (const std::optional<MemberUpdate> update = updateUnlessAlive(record->id)) {
+      ++notified;
+      send(record->info->address, Message{}, update);
     }
   }
-  accuseAt_ = accused_.empty() ? Span::max() : now + scaled(rhythm_.period, kTellAccused);
+  notifyAt_ = toNotify_.empty() ? Span::max() : now + scaled(config_.period, kNotifyInterval);
 }
 
-void Membership::exchangeNow(Span now, const std::string& address) {
+void Membership::startExchange(Span now, const std::string& address) {
   exchangedAt_ = now;
-  surroundings_.exchange(address);
+  host_.exchange(address);
 }
 
-void Membership::exchangeByChance(Span now) {
-  const bool soon = now < unsettledUntil_ || rumours_.size() > 4 * kFewChanges;
-  exchangeAt_ = now + scaled(rhythm_.period, (soon ? kExchangeSoon : kExchangeSeldom) * (0.5 + draw()));
-  const auto one = drawLiving(1, self_.id);
-  if (!one.empty()) exchangeNow(now, one.front()->card->address);
+void Membership::exchangeWithRandomMember(Span now) {
+  const bool busy = now < busyUntil_ || gossip_.size() > 4 * kGossipChanges;
+  exchangeAt_ = now + scaled(config_.period, (busy ? kBusyExchangeInterval : kIdleExchangeInterval) *
+                                                 (0.5 + randomFraction()));
+  const auto one = drawLiveMembers(1, self_.id);
+  if (!one.empty()) startExchange(now, one.front()->info->address);
 }
 
-void Membership::send(const std::string& address, Message message, std::optional<Word> first) {
+void Membership::send(const std::string& address, Message message, std::optional<MemberUpdate> first) {
   message.self = self_;
   message.digest = digest();
-  std::size_t room = kRoom - sizeOf(self_);
+  std::size_t available = kMessageBytes - maxEncodedSize(self_);
   if (first) {
-    room -= sizeOf(*first);
-    message.words.push_back(*std::move(first));
+    available -= maxEncodedSize(*first);
+    message.updates.push_back(*std::move(first));
   }
-  for (Word& word : rumours_.next(room, times())) message.words.push_back(std::move(word));
-  surroundings_.send(address, message);
+  for (MemberUpdate& update : gossip_.next(available, maxTransmissions()))
+    message.updates.push_back(std::move(update));
+  host_.send(address, message);
 }
 
-// ---- How well it hears
+// ---- Local health and connectivity
 
-// Guards against one that was frozen, or had no processor for long: what it did not hear says nothing of
-// others.
-void Membership::notice(Span now) {
-  if (!rhythm_.lifeguard || due_ == Span::max() || now - due_ < scaled(rhythm_.period, kStall)) return;
-  const Span late = now - due_;
-  ++figures_.stalls;
-  feel(1);
+// Detects that this process was suspended or starved: missing replies then say nothing about other members,
+// so probes in flight are dropped and suspicions extended.
+void Membership::detectStall(Span now) {
+  if (!config_.lifeguard || due_ == Span::max() || now - due_ < scaled(config_.period, kStallThreshold))
+    return;
+  const Span delay = now - due_;
+  ++counters_.stalls;
+  adjustLocalHealth(1);
   probe_.reset();
-  favours_.clear();
+  relayedProbes_.clear();
   for (auto& [id, suspicion] : suspicions_) {
-    suspicion.begun += late;
-    suspicion.ends += late;
+    suspicion.startedAt += delay;
+    suspicion.endsAt += delay;
   }
-  if (ripeAt_ != Span::max()) ripeAt_ += late;
-  for (Span* timer : {&probeAt_, &spreadAt_, &accuseAt_, &exchangeAt_, &forgetAt_, &joinAt_})
+  if (suspicionEndsAt_ != Span::max()) suspicionEndsAt_ += delay;
+  for (Span* timer : {&probeAt_, &gossipAt_, &notifyAt_, &exchangeAt_, &expireAt_, &joinAt_})
     *timer = std::max(*timer, now);
-  stalledUntil_ = now + scaled(rhythm_.period, kDoubtsItself);
-  if (hearing_ == Hearing::whole) hearing_ = Hearing::partial;
+  stalledUntil_ = now + scaled(config_.period, kStallPenaltyPeriods);
+  if (connectivity_ == Connectivity::full) connectivity_ = Connectivity::partial;
   due_ = now;
 }
 
-void Membership::listen(Span now) {
-  const auto others = static_cast<double>(view_.safe());
-  Hearing heard = Hearing::whole;
-  if (displaced_ || (others == 0 && !join_.empty()) || (others > 0 && unheard_ > 1)) {
-    heard = Hearing::alone;
+void Membership::updateConnectivity(Span now) {
+  const auto others = static_cast<double>(view_.possiblyRunning());
+  Connectivity measured = Connectivity::full;
+  if (displaced_ || (others == 0 && !joinAddresses_.empty()) || (others > 0 && unansweredProbes_ > 1)) {
+    measured = Connectivity::isolated;
   } else if (others > 0) {
     const double share = static_cast<double>(view_.count(State::alive)) / others;
-    // Guards against a member that has said `partial` once and can't say `whole` again for as long as the
-    // dead are kept, which may be more than a tenth of a small fleet: who is suspected tells a cut, not who
-    // died.
-    const bool clear = hearing_ == Hearing::whole || view_.count(State::suspect) == 0;
-    if (share < (clear ? kPartialBelow : kWholeFrom) || now < stalledUntil_) heard = Hearing::partial;
-  }
-  if (heard <= hearing_) worseSince_ = Span::max();
-  if (heard >= hearing_) betterSince_ = Span::max();
-  if (heard > hearing_) worseSince_ = std::min(worseSince_, now);
-  if (heard < hearing_) betterSince_ = std::min(betterSince_, now);
-  if ((worseSince_ != Span::max() && now - worseSince_ >= scaled(rhythm_.period, kFalls)) ||
-      (betterSince_ != Span::max() && now - betterSince_ >= scaled(rhythm_.period, kRises))) {
-    hearing_ = heard;
+    // Dead members stay counted until they are removed, which in a small fleet could prevent the return to
+    // full. Without suspects the lower threshold applies, as a partition would show as suspicions.
+    const bool lowerThreshold = connectivity_ == Connectivity::full || view_.count(State::suspect) == 0;
+    if (share < (lowerThreshold ? kPartialBelow : kFullFrom) || now < stalledUntil_)
+      measured = Connectivity::partial;
+  }
+  if (measured <= connectivity_) worseSince_ = Span::max();
+  if (measured >= connectivity_) betterSince_ = Span::max();
+  if (measured > connectivity_) worseSince_ = std::min(worseSince_, now);
+  if (measured < connectivity_) betterSince_ = std::min(betterSince_, now);
+  if ((worseSince_ != Span::max() && now - worseSince_ >= scaled(config_.period, kDegradePeriods)) ||
+      (betterSince_ != Span::max() && now - betterSince_ >= scaled(config_.period, kRecoverPeriods))) {
+    connectivity_ = measured;
     worseSince_ = betterSince_ = Span::max();
   }
 }
 
-// Guards against a member that hears but is not heard, or hears nobody: it would bury all the others, or one
-// whose answer to a suspicion it missed. So deaths are told in the moment of an answer alone, and one that
-// was not answered for a while asks what it missed, and gives those it suspects their time anew.
-void Membership::answered(Span now, const std::string& address) {
-  const bool missed = now - std::exchange(answeredAt_, now) > scaled(rhythm_.period, kUnanswered);
-  const bool silent = std::exchange(unheard_, 0U) > 0;
-  if (!rhythm_.lifeguard) return;
-  if (!silent && !missed) return settleSuspicions(now);
-  // After silence the trouble is over, whatever it was; else it would ask seldom for most of a minute.
-  if (silent) ill_ = 0;
-  exchangeNow(now, address);
-  ripeAt_ = Span::max();
+// A member that can't receive, or whose messages are lost, must not declare the others dead. Suspicions
+// therefore expire only when a probe is answered. After a gap without replies the member first starts an
+// exchange for what it missed and restarts the suspicion timeouts.
+void Membership::probeAnswered(Span now, const std::string& address) {
+  const bool missed = now - std::exchange(repliedAt_, now) > scaled(config_.period, kMissedReplyPeriods);
+  const bool unanswered = std::exchange(unansweredProbes_, 0U) > 0;
+  if (!config_.lifeguard) return;
+  if (!unanswered && !missed) return expireSuspicions(now);
+  // Replies again after silence: reset local health, which would otherwise slow down probing for long.
+  if (unanswered) localHealth_ = 0;
+  startExchange(now, address);
+  suspicionEndsAt_ = Span::max();
   for (auto& [id, suspicion] : suspicions_) {
-    accused_.insert(id);  // it may never have heard of it
-    suspicion.begun = now;
-    suspicion.ends = deadline(suspicion);
-    ripeAt_ = std::min(ripeAt_, suspicion.ends);
+    toNotify_.insert(id);  // the suspect may not know of the suspicion
+    suspicion.startedAt = now;
+    suspicion.endsAt = suspicionDeadline(suspicion);
+    suspicionEndsAt_ = std::min(suspicionEndsAt_, suspicion.endsAt);
   }
-  if (!accused_.empty()) accuseAt_ = std::min(accuseAt_, now);
+  if (!toNotify_.empty()) notifyAt_ = std::min(notifyAt_, now);
 }
 
-void Membership::feel(int by) {
-  if (!rhythm_.lifeguard) return;
-  ill_ = static_cast<std::uint32_t>(std::clamp(static_cast<int>(ill_) + by, 0, static_cast<int>(kMostIll)));
+void Membership::adjustLocalHealth(int by) {
+  if (!config_.lifeguard) return;
+  localHealth_ = static_cast<std::uint32_t>(
+      std::clamp(static_cast<int>(localHealth_) + by, 0, static_cast<int>(kMaxLocalHealth)));
 }
 
-// ---- Time
+// ---- Timers
 
 void Membership::wake(Span now) {
-  if (!begun_ || left_) return;
-  notice(now);
-  followProbe(now);
-  settleFavours(now);
-  if (!rhythm_.lifeguard) settleSuspicions(now);
+  if (!started_ || left_) return;
+  detectStall(now);
+  continueProbe(now);
+  continueRelayedProbes(now);
+  if (!config_.lifeguard) expireSuspicions(now);
   if (now >= probeAt_) {
-    probeNext(now);
-    listen(now);
+    startProbe(now);
+    updateConnectivity(now);
   }
   if (now >= joinAt_) {
     joinAt_ = Span::max();
-    if (view_.living() == 0) exchangeNow(now, join_[pick(join_.size())]);
+    if (view_.liveCount() == 0) startExchange(now, joinAddresses_[randomIndex(joinAddresses_.size())]);
   }
   if (!displaced_) {
-    if (now >= spreadAt_) spread(now);
-    if (now >= accuseAt_) tellAccused(now);
-    if (now >= exchangeAt_) exchangeByChance(now);
+    if (now >= gossipAt_) sendGossip(now);
+    if (now >= notifyAt_) notifyAccused(now);
+    if (now >= exchangeAt_) exchangeWithRandomMember(now);
   }
-  if (now >= forgetAt_) {
-    // Alone it can't tell a death from a cut: nobody's is long ago then.
-    view_.forget(now, hearing_ != Hearing::alone);
-    forgetAt_ = now + 60 * rhythm_.period;
+  if (now >= expireAt_) {
+    // An isolated member can't tell a death from a partition, so it keeps dead members.
+    view_.removeExpired(now, connectivity_ != Connectivity::isolated);
+    expireAt_ = now + 60 * config_.period;
   }
-  plan(now);
+  scheduleTimer(now);
 }
 
-void Membership::plan(Span now) {
-  due_ = std::min({probeAt_, forgetAt_, joinAt_});
-  if (!displaced_) due_ = std::min({due_, spreadAt_, accuseAt_, exchangeAt_});
-  if (probe_) due_ = std::min({due_, probe_->askOthersAt, probe_->endsAt});
-  for (const auto& [number, favour] : favours_)
-    due_ = std::min(due_, favour.told ? favour.endsAt : favour.nackAt);
-  if (!rhythm_.lifeguard) due_ = std::min(due_, ripeAt_);
-  due_ = std::max(due_, now);  // what is overdue now is no stall
+void Membership::scheduleTimer(Span now) {
+  due_ = std::min({probeAt_, expireAt_, joinAt_});
+  if (!displaced_) due_ = std::min({due_, gossipAt_, notifyAt_, exchangeAt_});
+  if (probe_) due_ = std::min({due_, probe_->indirectAt, probe_->endsAt});
+  for (const auto& [number, relayed] : relayedProbes_)
+    due_ = std::min(due_, relayed.nackSent ? relayed.endsAt : relayed.nackAt);
+  if (!config_.lifeguard) due_ = std::min(due_, suspicionEndsAt_);
+  due_ = std::max(due_, now);  // a timer that is already overdue must not count as a stall
 }
 
-// ---- Help
+// ---- Helpers
 
-std::optional<Word> Membership::wordFor(MemberId id) const {
-  const Held* const held = view_.find(id);
-  if (held == nullptr || held->state == State::alive) return std::nullopt;
-  return wordOf(held->since, *held);
+std::optional<MemberUpdate> Membership::updateUnlessAlive(MemberId id) const {
+  const MemberRecord* const record = view_.find(id);
+  if (record == nullptr || record->state == State::alive) return std::nullopt;
+  return updateOf(record->since, *record);
 }
 
-Word Membership::wordOf(Span now, const Held& held) const {
-  Word word{held.card, held.id, held.life, held.state, Span{}, MemberId{}};
-  if (held.state == State::dead || held.state == State::left) word.age = std::max(now - held.since, Span{});
-  if (held.state == State::suspect) {
-    const auto at = suspicions_.find(held.id);
-    word.from = at != suspicions_.end() && !at->second.by.empty() ? *at->second.by.begin() : self_.id;
+MemberUpdate Membership::updateOf(Span now, const MemberRecord& record) const {
+  MemberUpdate update{record.info, record.id, record.version, record.state, Span{}, MemberId{}};
+  if (record.state == State::dead || record.state == State::left)
+    update.age = std::max(now - record.since, Span{});
+  if (record.state == State::suspect) {
+    const auto at = suspicions_.find(record.id);
+    update.accuser =
+        at != suspicions_.end() && !at->second.accusers.empty() ? *at->second.accusers.begin() : self_.id;
   }
-  return word;
+  return update;
 }
 
-std::vector<const Held*> Membership::drawLiving(std::size_t count, MemberId but) {
-  std::vector<const Held*> drawn;
+std::vector<const MemberRecord*> Membership::drawLiveMembers(std::size_t count, MemberId excluded) {
+  std::vector<const MemberRecord*> drawn;
   const auto& all = view_.all();
-  const auto fits = [&](const Held& held) {
-    return held.id != but && (held.state == State::alive || held.state == State::suspect) &&
-           std::ranges::find(drawn, &held) == drawn.end();
+  const auto fits = [&](const MemberRecord& record) {
+    return record.id != excluded && (record.state == State::alive || record.state == State::suspect) &&
+           std::ranges::find(drawn, &record) == drawn.end();
   };
-  // A few draws find them where most live; else all are looked through.
+  // A few random draws suffice if most members are live; otherwise scan the view.
   for (std::size_t tries = 0; tries < 4 * count && drawn.size() < count && !all.empty(); ++tries) {
-    const Held& held = all[pick(all.size())];
-    if (fits(held)) drawn.push_back(&held);
+    const MemberRecord& record = all[randomIndex(all.size())];
+    if (fits(record)) drawn.push_back(&record);
   }
-  for (std::size_t at = 0; at < all.size() && drawn.size() < std::min(count, view_.living()); ++at) {
+  for (std::size_t at = 0; at < all.size() && drawn.size() < std::min(count, view_.liveCount()); ++at) {
     if (fits(all[at])) drawn.push_back(&all[at]);
   }
   return drawn;
 }
 
-double Membership::draw() { return static_cast<double>(chance_() >> 11U) * 0x1.0p-53; }
+double Membership::randomFraction() { return static_cast<double>(random_() >> 11U) * 0x1.0p-53; }
 
-std::size_t Membership::pick(std::size_t below) {
-  return std::min(static_cast<std::size_t>(draw() * static_cast<double>(below)), below - 1);
+std::size_t Membership::randomIndex(std::size_t below) {
+  return std::min(static_cast<std::size_t>(randomFraction() * static_cast<double>(below)), below - 1);
 }
 
-std::uint32_t Membership::times() const {
-  return static_cast<std::uint32_t>(kRetell * std::ceil(std::log10(static_cast<double>(view_.living() + 2))));
+std::uint32_t Membership::maxTransmissions() const {
+  return static_cast<std::uint32_t>(kRetransmitMultiplier *
+                                    std::ceil(std::log10(static_cast<double>(view_.liveCount() + 2))));
 }
 
 }  // namespace rackroute::fleet
--- a/src/fleet/view.hpp
+++ b/src/fleet/view.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// All that one member holds of the others, and which word replaces which. It owns the records; whom to probe,
-// whom to tell and how long to wait is not its business. No I/O, no chance.
+// One member's records of the others. Decides which update replaces a record; probing, gossip and timeouts
+// are left to Membership. No I/O and no randomness.
 
 #include <array>
 #include <cstddef>
@@ -13,50 +13,56 @@
 
 namespace rackroute::fleet {
 
-struct Held {
-  CardPtr card;
+/// What is known of another member.
+struct MemberRecord {
+  MemberInfoPtr info;
   MemberId id;
-  Life life;
+  MemberVersion version;
   State state = State::alive;
-  Span since{};  // of the state
+  Span since{};  // time of the last change of state
 };
 
 class View {
  public:
-  /// Most members; further ones are not taken up. How long dead ones, and those that left, are kept.
-  View(std::size_t most, Span keepDead, Span keepLeft);
-
-  enum class Taken { nothing, fresh, changed, full };
-  /// Takes a word up if it outranks what is held.
-  Taken take(Span now, const Word& word);
-  [[nodiscard]] const Held* find(MemberId id) const;
-  /// In the order of their ids.
-  [[nodiscard]] const std::vector<Held>& all() const { return held_; }
-  /// Forgets those kept for long enough; dead ones only where that is asked for.
-  void forget(Span now, bool dead);
+  /// Members beyond maxMembers are not added. The retentions bound how long dead members and members that
+  /// left are kept.
+  View(std::size_t maxMembers, Span deadRetention, Span leftRetention);
+
+  /// added: new, or alive again after it was dead or had left; full: not added for lack of space.
+  enum class ApplyResult { ignored, added, changed, full };
+  /// Applies an update if it overrides the current record.
+  ApplyResult apply(Span now, const MemberUpdate& update);
+  [[nodiscard]] const MemberRecord* find(MemberId id) const;
+  /// Ordered by id.
+  [[nodiscard]] const std::vector<MemberRecord>& all() const { return members_; }
+  /// Removes members whose retention has passed; dead ones only if includeDead is set.
+  void removeExpired(Span now, bool includeDead);
 
   [[nodiscard]] std::size_t count(State state) const { return counts_[static_cast<std::size_t>(state)]; }
   /// Alive or suspect.
-  [[nodiscard]] std::size_t living() const { return count(State::alive) + count(State::suspect); }
-  /// All that may be running, whatever one hears of them; falls by a leave, or long after a death.
-  [[nodiscard]] std::size_t safe() const { return living() + count(State::dead); }
-  /// The same at two members that hold the same ones for living, in the same incarnations.
+  [[nodiscard]] std::size_t liveCount() const { return count(State::alive) + count(State::suspect); }
+  /// Members that may be running, including those thought dead: decreases when a member leaves, or when a
+  /// dead one is removed.
+  [[nodiscard]] std::size_t possiblyRunning() const { return liveCount() + count(State::dead); }
+  /// Equal at two members that consider the same members alive or suspect, with the same versions.
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
-  /// The same by part.
-  [[nodiscard]] const std::array<std::uint64_t, kParts>& marks() const { return marks_; }
-  [[nodiscard]] static std::uint64_t digestOf(MemberId id, const Life& life);
+  /// The digest of each bucket.
+  [[nodiscard]] const std::array<std::uint64_t, kDigestBuckets>& bucketDigests() const {
+    return bucketDigests_;
+  }
+  [[nodiscard]] static std::uint64_t digestOf(MemberId id, const MemberVersion& version);
 
  private:
-  [[nodiscard]] bool outdated(Span now, State state, Span since) const;
-  void count(const Held& held, bool in);
+  [[nodiscard]] bool expired(Span now, State state, Span since) const;
+  void count(const MemberRecord& member, bool added);
 
-  std::size_t most_;
-  Span keepDead_;
-  Span keepLeft_;
-  std::vector<Held> held_;
+  std::size_t maxMembers_;
+  Span deadRetention_;
+  Span leftRetention_;
+  std::vector<MemberRecord> members_;
   std::size_t counts_[4] = {};
   std::uint64_t digest_ = 0;
-  std::array<std::uint64_t, kParts> marks_{};
+  std::array<std::uint64_t, kDigestBuckets> bucketDigests_{};
 };
 
 }  // namespace rackroute::fleet
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -10,50 +10,61 @@
 namespace rackroute::fleet {
 namespace {
 
-// Keys of the outer map, and of a word's.
-enum : std::uint8_t { kVersionKey, kFleet, kKind, kNumber, kAbout, kSelf, kDigest, kWords, kMarks };
-enum : std::uint8_t { kName, kAddress, kZone, kStart, kIncarnation, kState, kAge, kFrom };
+// Map keys of a message, and of an update within it.
+enum : std::uint8_t {
+  kVersionKey,
+  kFleet,
+  kKind,
+  kProbeNumber,
+  kSubject,
+  kSelf,
+  kDigest,
+  kUpdates,
+  kBucketDigests
+};
+enum : std::uint8_t { kName, kAddress, kZone, kStart, kIncarnation, kState, kAge, kAccuser };
 
-constexpr std::size_t kMostWords = 20000;                         // in a whole view
-constexpr std::size_t kMostFields = 64;                           // of one map; a later version's too
-constexpr std::size_t kLongestText = 64;                          // bytes; of names, zones and addresses
-constexpr std::size_t kDeepest = 8;                               // maps within maps
-constexpr std::uint64_t kLongestAge = 1000ULL * 3600 * 24 * 365;  // ms
+constexpr std::size_t kMaxUpdates = 20000;  // in a view message
+constexpr std::size_t kMaxFields = 64;      // in a map, including unknown fields of later versions
+constexpr std::size_t kMaxTextBytes = 64;   // of names, zones and addresses
+constexpr std::size_t kMaxDepth = 8;        // nesting levels
+constexpr std::uint64_t kMaxAge = 1000ULL * 3600 * 24 * 365;  // ms
 
 using Buffer = msgpack::sbuffer;
 using Packer = msgpack::packer<Buffer>;
 
-void pack(Packer& packer, const Word& word) {
-  const bool gone = word.state == State::dead || word.state == State::left;
-  const bool accused = word.state == State::suspect;
-  packer.pack_map(6U + (gone ? 1U : 0U) + (accused ? 1U : 0U));
-  packer.pack(std::uint8_t{kName}).pack(word.card->name);
-  packer.pack(std::uint8_t{kAddress}).pack(word.card->address);
-  packer.pack(std::uint8_t{kZone}).pack(word.card->zone);
-  packer.pack(std::uint8_t{kStart}).pack(word.life.start);
-  packer.pack(std::uint8_t{kIncarnation}).pack(word.life.incarnation);
-  packer.pack(std::uint8_t{kState}).pack(static_cast<std::uint8_t>(word.state));
-  if (gone) {
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(word.age).count();
+void pack(Packer& packer, const MemberUpdate& update) {
+  const bool ended = update.state == State::dead || update.state == State::left;
+  const bool suspected = update.state == State::suspect;
+  packer.pack_map(6U + (ended ? 1U : 0U) + (suspected ? 1U : 0U));
+  packer.pack(std::uint8_t{kName}).pack(update.info->name);
+  packer.pack(std::uint8_t{kAddress}).pack(update.info->address);
+  packer.pack(std::uint8_t{kZone}).pack(update.info->zone);
+  packer.pack(std::uint8_t{kStart}).pack(update.version.start);
+  packer.pack(std::uint8_t{kIncarnation}).pack(update.version.incarnation);
+  packer.pack(std::uint8_t{kState}).pack(static_cast<std::uint8_t>(update.state));
+  if (ended) {
+    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(update.age).count();
     packer.pack(std::uint8_t{kAge}).pack(static_cast<std::uint64_t>(std::max<std::int64_t>(age, 0)));
   }
-  if (accused) packer.pack(std::uint8_t{kFrom}).pack(word.from.value);
+  if (suspected) packer.pack(std::uint8_t{kAccuser}).pack(update.accuser.value);
 }
 
-struct Absurd {};
+/// Thrown for a well-formed value outside its bounds.
+struct OutOfRange {};
 
-std::uint64_t number(const msgpack::object& object, std::uint64_t most) {
+std::uint64_t number(const msgpack::object& object, std::uint64_t max) {
   if (object.type != msgpack::type::POSITIVE_INTEGER) throw msgpack::type_error();
-  if (object.via.u64 > most) throw Absurd{};
+  if (object.via.u64 > max) throw OutOfRange{};
   return object.via.u64;
 }
 
 std::string text(const msgpack::object& object) {
   if (object.type != msgpack::type::STR) throw msgpack::type_error();
-  if (object.via.str.size > kLongestText) throw Absurd{};
-  // Guards against names that spoil a log line or the door's JSON.
+  if (object.via.str.size > kMaxTextBytes) throw OutOfRange{};
+  // Rejects characters that would have to be escaped in log lines and in JSON output.
   for (std::uint32_t i = 0; i < object.via.str.size; ++i) {
-    if (!isPlain(object.via.str.ptr[i])) throw Absurd{};
+    if (!isPlain(object.via.str.ptr[i])) throw OutOfRange{};
   }
   return {object.via.str.ptr, object.via.str.size};
 }
@@ -67,9 +78,10 @@
   return bytes;
 }
 
-/// Calls back with each key and its value; keys that are no small numbers belong to later versions.
+/// Calls field(key, value) for each entry of a map; skips keys that are not integers, which later versions
+/// may add.
 template <class Field>
-void eachField(const msgpack::object& object, Field field) {
+void forEachField(const msgpack::object& object, Field field) {
   if (object.type != msgpack::type::MAP) throw msgpack::type_error();
   for (std::uint32_t i = 0; i < object.via.map.size; ++i) {
     const auto& pair = object.via.map.ptr[i];
@@ -77,79 +89,78 @@
   }
 }
 
-Word readWord(const msgpack::object& object) {
-  Word word;
-  Card card;
+MemberUpdate parseUpdate(const msgpack::object& object) {
+  MemberUpdate update;
+  MemberInfo info;
   std::uint32_t seen = 0;
-  eachField(object, [&](std::uint64_t key, const msgpack::object& value) {
+  forEachField(object, [&](std::uint64_t key, const msgpack::object& value) {
     if (key <= kState) seen |= 1U << key;
     switch (key) {
       case kName:
-        card.name = text(value);
+        info.name = text(value);
         break;
       case kAddress:
-        card.address = text(value);
+        info.address = text(value);
         break;
       case kZone:
-        card.zone = text(value);
+        info.zone = text(value);
         break;
       case kStart:
-        word.life.start = number(value, std::numeric_limits<std::uint64_t>::max());
+        update.version.start = number(value, std::numeric_limits<std::uint64_t>::max());
         break;
       case kIncarnation:
-        word.life.incarnation =
+        update.version.incarnation =
             static_cast<std::uint32_t>(number(value, std::numeric_limits<std::uint32_t>::max()));
         break;
       case kState:
-        word.state = static_cast<State>(number(value, static_cast<std::uint64_t>(State::left)));
+        update.state = static_cast<State>(number(value, static_cast<std::uint64_t>(State::left)));
         break;
       case kAge:
-        word.age = std::chrono::milliseconds(number(value, kLongestAge));
+        update.age = std::chrono::milliseconds(number(value, kMaxAge));
         break;
-      case kFrom:
-        word.from.value = number(value, std::numeric_limits<std::uint64_t>::max());
+      case kAccuser:
+        update.accuser.value = number(value, std::numeric_limits<std::uint64_t>::max());
         break;
       default:
         break;
     }
   });
   if (seen != (2U << kState) - 1) throw msgpack::type_error();
-  if (card.name.empty() || card.address.empty()) throw Absurd{};
-  word.id = memberId(card.name);
-  word.card = std::make_shared<const Card>(std::move(card));
-  return word;
+  if (info.name.empty() || info.address.empty()) throw OutOfRange{};
+  update.id = memberId(info.name);
+  update.info = std::make_shared<const MemberInfo>(std::move(info));
+  return update;
 }
 
-Marks readMarks(const msgpack::object& object) {
+BucketDigests parseBucketDigests(const msgpack::object& object) {
   if (object.type != msgpack::type::ARRAY) throw msgpack::type_error();
-  if (object.via.array.size != kParts) throw Absurd{};
-  Marks marks;
+  if (object.via.array.size != kDigestBuckets) throw OutOfRange{};
+  BucketDigests bucketDigests;
   for (std::uint32_t i = 0; i < object.via.array.size; ++i)
-    marks.push_back(number(object.via.array.ptr[i], std::numeric_limits<std::uint64_t>::max()));
-  return marks;
+    bucketDigests.push_back(number(object.via.array.ptr[i], std::numeric_limits<std::uint64_t>::max()));
+  return bucketDigests;
 }
 
-/// What a message and a whole view have in common, read into a message.
-Refusal read(const std::string& fleet, std::string_view whole, std::size_t mostWords, Message& made,
-             Marks* marks = nullptr) {
-  // Guards against bytes changed on the way, which might still read as words: a name, an incarnation, a later
-  // start.
-  if (whole.size() < kSeal) return Refusal::garbled;
-  const std::string_view bytes = whole.substr(kSeal);
-  if (whole.substr(0, kSeal) != checksum(bytes)) return Refusal::garbled;
+/// Decodes the parts that Message and ViewMessage have in common.
+DecodeError read(const std::string& fleet, std::string_view datagram, std::size_t maxUpdates,
+                 Message& message, BucketDigests* bucketDigests = nullptr) {
+  // Corrupted bytes might still decode, for instance as another name or a later start.
+  if (datagram.size() < kChecksumBytes) return DecodeError::corrupt;
+  const std::string_view bytes = datagram.substr(kChecksumBytes);
+  if (datagram.substr(0, kChecksumBytes) != checksum(bytes)) return DecodeError::corrupt;
   try {
     std::size_t end = 0;
     const auto handle = msgpack::unpack(
         bytes.data(), bytes.size(), end, nullptr, nullptr,
-        msgpack::unpack_limit(mostWords, kMostFields, bytes.size(), bytes.size(), bytes.size(), kDeepest));
-    if (end != bytes.size()) return Refusal::garbled;
+        msgpack::unpack_limit(maxUpdates, kMaxFields, bytes.size(), bytes.size(), bytes.size(), kMaxDepth));
+    if (end != bytes.size()) return DecodeError::corrupt;
     std::uint64_t version = 0;
     std::string name;
     std::uint32_t seen = 0;
     const msgpack::object* self = nullptr;
-    const msgpack::object* words = nullptr;
-    eachField(handle.get(), [&](std::uint64_t key, const msgpack::object& value) {
-      if (key <= kWords) seen |= 1U << key;
+    const msgpack::object* updates = nullptr;
+    forEachField(handle.get(), [&](std::uint64_t key, const msgpack::object& value) {
+      if (key <= kUpdates) seen |= 1U << key;
       switch (key) {
         case kVersionKey:
           version = number(value, std::numeric_limits<std::uint32_t>::max());
@@ -158,119 +169,125 @@
           name = text(value);
           break;
         case kKind:
-          made.kind = static_cast<Kind>(number(value, static_cast<std::uint64_t>(Kind::news)));
+          message.kind =
+              static_cast<MessageKind>(number(value, static_cast<std::uint64_t>(MessageKind::gossip)));
           break;
-        case kNumber:
-          made.number = static_cast<std::uint32_t>(number(value, std::numeric_limits<std::uint32_t>::max()));
+        case kProbeNumber:
+          message.probeNumber =
+              static_cast<std::uint32_t>(number(value, std::numeric_limits<std::uint32_t>::max()));
           break;
-        case kAbout:
-          made.about.value = number(value, std::numeric_limits<std::uint64_t>::max());
+        case kSubject:
+          message.subject.value = number(value, std::numeric_limits<std::uint64_t>::max());
           break;
         case kSelf:
           self = &value;
           break;
         case kDigest:
-          made.digest = number(value, std::numeric_limits<std::uint64_t>::max());
+          message.digest = number(value, std::numeric_limits<std::uint64_t>::max());
           break;
-        case kWords:
-          words = &value;
+        case kUpdates:
+          updates = &value;
           break;
-        case kMarks:
-          if (marks != nullptr) *marks = readMarks(value);
+        case kBucketDigests:
+          if (bucketDigests != nullptr) *bucketDigests = parseBucketDigests(value);
           break;
         default:
           break;
       }
     });
-    if (seen != (2U << kWords) - 1)
-      return version != 0 && version != kVersion ? Refusal::version : Refusal::garbled;
-    if (version != kVersion) return Refusal::version;
-    if (name != fleet) return Refusal::otherFleet;
-    made.self = readWord(*self);
-    if (words->type != msgpack::type::ARRAY) return Refusal::garbled;
-    made.words.reserve(words->via.array.size);
-    for (std::uint32_t i = 0; i < words->via.array.size; ++i)
-      made.words.push_back(readWord(words->via.array.ptr[i]));
-    return Refusal::none;
-  } catch (const Absurd&) {
-    return Refusal::absurd;
+    if (seen != (2U << kUpdates) - 1)
+      return version != 0 && version != kWireVersion ? DecodeError::unsupportedVersion : DecodeError::corrupt;
+    if (version != kWireVersion) return DecodeError::unsupportedVersion;
+    if (name != fleet) return DecodeError::wrongFleet;
+    message.self = parseUpdate(*self);
+    if (updates->type != msgpack::type::ARRAY) return DecodeError::corrupt;
+    message.updates.reserve(updates->via.array.size);
+    for (std::uint32_t i = 0; i < updates->via.array.size; ++i)
+      message.updates.push_back(parseUpdate(updates->via.array.ptr[i]));
+    return DecodeError::none;
+  } catch (const OutOfRange&) {
+    return DecodeError::outOfRange;
   } catch (const msgpack::size_overflow&) {
-    return Refusal::absurd;
-  } catch (const std::exception&) {  // what msgpack throws has no other common base
-    return Refusal::garbled;
+    return DecodeError::outOfRange;
+  } catch (const std::exception&) {  // msgpack's exceptions have no other common base class
+    return DecodeError::corrupt;
   }
 }
 
-void packOuter(Packer& packer, const std::string& fleet, Kind kind, std::uint32_t number, MemberId about,
-               const Word& self, std::uint64_t digest, bool marked = false) {
-  packer.pack_map(marked ? 9 : 8);
-  packer.pack(std::uint8_t{kVersionKey}).pack(kVersion);
+void packEnvelope(Packer& packer, const std::string& fleet, MessageKind kind, std::uint32_t number,
+                  MemberId subject, const MemberUpdate& self, std::uint64_t digest,
+                  bool hasBucketDigests = false) {
+  packer.pack_map(hasBucketDigests ? 9 : 8);
+  packer.pack(std::uint8_t{kVersionKey}).pack(kWireVersion);
   packer.pack(std::uint8_t{kFleet}).pack(fleet);
   packer.pack(std::uint8_t{kKind}).pack(static_cast<std::uint8_t>(kind));
-  packer.pack(std::uint8_t{kNumber}).pack(number);
-  packer.pack(std::uint8_t{kAbout}).pack(about.value);
+  packer.pack(std::uint8_t{kProbeNumber}).pack(number);
+  packer.pack(std::uint8_t{kSubject}).pack(subject.value);
   packer.pack(std::uint8_t{kDigest}).pack(digest);
   packer.pack(std::uint8_t{kSelf});
   pack(packer, self);
-  packer.pack(std::uint8_t{kWords});
+  packer.pack(std::uint8_t{kUpdates});
 }
 
 }  // namespace
 
-std::string_view nameOf(Refusal refusal) {
-  constexpr std::array<std::string_view, kRefusals> kNames = {"none", "garbled", "version", "other_fleet",
-                                                              "absurd"};
-  return kNames.at(static_cast<std::size_t>(refusal));
+std::string_view nameOf(DecodeError error) {
+  constexpr std::array<std::string_view, kDecodeErrors> kNames = {"none", "garbled", "version", "other_fleet",
+                                                                  "absurd"};
+  return kNames.at(static_cast<std::size_t>(error));
 }
 
-std::string sealed(std::string_view body) { return checksum(body).append(body); }
+std::string withChecksum(std::string_view body) { return checksum(body).append(body); }
 
 std::string encode(const std::string& fleet, const Message& message) {
-  constexpr std::size_t kArrayHead = 3;  // bytes at most
+  constexpr std::size_t kMaxArrayHeader = 3;  // bytes
   Buffer head;
   Packer outer(head);
-  packOuter(outer, fleet, message.kind, message.number, message.about, message.self, message.digest);
+  packEnvelope(outer, fleet, message.kind, message.probeNumber, message.subject, message.self,
+               message.digest);
   Buffer body;
   Packer inner(body);
-  std::uint32_t words = 0;
-  std::size_t whole = 0;
-  for (const Word& word : message.words) {
-    pack(inner, word);
-    if (kSeal + head.size() + kArrayHead + body.size() > kLongestDatagram) break;
-    whole = body.size();
-    ++words;
+  std::uint32_t updates = 0;
+  std::size_t included = 0;
+  for (const MemberUpdate& update : message.updates) {
+    pack(inner, update);
+    if (kChecksumBytes + head.size() + kMaxArrayHeader + body.size() > kMaxDatagramBytes) break;
+    included = body.size();
+    ++updates;
   }
-  outer.pack_array(words);
+  outer.pack_array(updates);
   std::string bytes(head.data(), head.size());
-  return sealed(bytes.append(body.data() == nullptr ? "" : body.data(), whole));
+  return withChecksum(bytes.append(body.data() == nullptr ? "" : body.data(), included));
 }
 
-std::string encode(const std::string& fleet, const Whole& whole) {
+std::string encode(const std::string& fleet, const ViewMessage& view) {
   Buffer bytes;
   Packer packer(bytes);
-  const bool marked = !whole.marks.empty();
-  packOuter(packer, fleet, Kind::news, 0, {}, whole.self, whole.digest, marked);
-  packer.pack_array(static_cast<std::uint32_t>(whole.words.size()));
-  for (const Word& word : whole.words) pack(packer, word);
-  if (marked) packer.pack(std::uint8_t{kMarks}).pack(whole.marks);
-  return sealed({bytes.data(), bytes.size()});
+  const bool hasBucketDigests = !view.bucketDigests.empty();
+  packEnvelope(packer, fleet, MessageKind::gossip, 0, {}, view.self, view.digest, hasBucketDigests);
+  packer.pack_array(static_cast<std::uint32_t>(view.updates.size()));
+  for (const MemberUpdate& update : view.updates) pack(packer, update);
+  if (hasBucketDigests) packer.pack(std::uint8_t{kBucketDigests}).pack(view.bucketDigests);
+  return withChecksum({bytes.data(), bytes.size()});
 }
 
-Refusal decode(const std::string& fleet, std::string_view bytes, Message& message) {
-  Message made;
-  const Refusal refusal =
-      bytes.size() > kLongestDatagram ? Refusal::absurd : read(fleet, bytes, kLongestDatagram, made);
-  if (refusal == Refusal::none) message = std::move(made);
-  return refusal;
+DecodeError decode(const std::string& fleet, std::string_view bytes, Message& message) {
+  Message decoded;
+  const DecodeError error = bytes.size() > kMaxDatagramBytes ? DecodeError::outOfRange
+                                                             : read(fleet, bytes, kMaxDatagramBytes, decoded);
+  if (error == DecodeError::none) message = std::move(decoded);
+  return error;
 }
 
-Refusal decode(const std::string& fleet, std::string_view bytes, Whole& whole) {
-  Message made;
-  Marks marks;
-  const Refusal refusal =
-      bytes.size() > kLongestWhole ? Refusal::absurd : read(fleet, bytes, kMostWords, made, &marks);
-  if (refusal == Refusal::none) whole = {made.self, made.digest, std::move(made.words), std::move(marks)};
-  return refusal;
+DecodeError decode(const std::string& fleet, std::string_view bytes, ViewMessage& view) {
+  Message message;
+  BucketDigests bucketDigests;
+  const DecodeError error = bytes.size() > kMaxViewMessageBytes
+                                ? DecodeError::outOfRange
+                                : read(fleet, bytes, kMaxUpdates, message, &bucketDigests);
+  if (error == DecodeError::none)
+    view = {message.self, message.digest, std::move(message.updates), std::move(bucketDigests)};
+  return error;
 }
 
 }  // namespace rackroute::fleet
--- a/src/fleet/wire.hpp
+++ b/src/fleet/wire.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// The bytes of what members say: msgpack maps with small numbers for keys, so that a later version may add
-// fields that this one passes over. It must never take up what is not whole, of another fleet, or larger than
-// it may be.
+// The wire format: msgpack maps with small integer keys, so that later versions can add fields that this one
+// skips. Rejects messages that are truncated, corrupted, oversized or from another fleet.
 
 #include <array>
 #include <cstddef>
@@ -15,23 +14,25 @@
 
 namespace rackroute::fleet {
 
-inline constexpr std::size_t kLongestDatagram = 1200;  // bytes; below any path's limit
-inline constexpr std::size_t kLongestWhole = 4 << 20;  // bytes; a view of twenty thousand members
-inline constexpr std::uint32_t kVersion = 1;           // changes only when old ones can't read the new
+inline constexpr std::size_t kMaxDatagramBytes = 1200;        // fits into one packet on common networks
+inline constexpr std::size_t kMaxViewMessageBytes = 4 << 20;  // a view of twenty thousand members
+inline constexpr std::uint32_t kWireVersion = 1;              // increased only for incompatible changes
 
-enum class Refusal : std::uint8_t { none, garbled, version, otherFleet, absurd };
-inline constexpr std::size_t kRefusals = 5;
-[[nodiscard]] std::string_view nameOf(Refusal refusal);
+/// Why a message was rejected; outOfRange: well-formed, but a value or size exceeds its bounds.
+enum class DecodeError : std::uint8_t { none, corrupt, unsupportedVersion, wrongFleet, outOfRange };
+inline constexpr std::size_t kDecodeErrors = 5;
+[[nodiscard]] std::string_view nameOf(DecodeError refusal);
 
-/// A checksum of so many bytes, and the body behind it.
-inline constexpr std::size_t kSeal = 4;
-[[nodiscard]] std::string sealed(std::string_view body);
+/// Size of the CRC-32 ahead of each message.
+inline constexpr std::size_t kChecksumBytes = 4;
+/// The checksum of the body, followed by the body.
+[[nodiscard]] std::string withChecksum(std::string_view body);
 
-/// Words that do not fit into a datagram are left out, the last ones first.
+/// Encodes a datagram; updates that don't fit are dropped from the end.
 [[nodiscard]] std::string encode(const std::string& fleet, const Message& message);
-[[nodiscard]] std::string encode(const std::string& fleet, const Whole& whole);
-/// Why it is not taken up; nothing is written then.
-Refusal decode(const std::string& fleet, std::string_view bytes, Message& message);
-Refusal decode(const std::string& fleet, std::string_view bytes, Whole& whole);
+[[nodiscard]] std::string encode(const std::string& fleet, const ViewMessage& view);
+/// Decodes a message; leaves the output unchanged on errors.
+DecodeError decode(const std::string& fleet, std::string_view bytes, Message& message);
+DecodeError decode(const std::string& fleet, std::string_view bytes, ViewMessage& view);
 
 }  // namespace rackroute::fleet
--- a/src/http/gather.hpp
+++ b/src/http/gather_buffer.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// What is still to be written to one connection: pieces that stand where they were read or made, for one
-// gathered write. It keeps alive whatever a piece points into, and must never copy a body.
+// The pending output of a connection, as pieces for a gathered write. Bodies are referenced in place, never
+// copied; the buffer keeps the owners of referenced bytes alive.
 
 #include <algorithm>
 #include <cstddef>
@@ -13,18 +13,20 @@
 
 namespace rackroute::http {
 
-class Gather {
+class GatherBuffer {
  public:
-  /// A piece that somebody else keeps; see keep().
+  /// Appends a piece owned by the caller; see keep().
   void view(std::string_view piece) {
     if (!piece.empty()) pieces_.push_back(piece);
   }
+  /// Appends a piece owned by the buffer.
   void text(std::string piece) {
     if (piece.empty()) return;
     pieces_.emplace_back(*texts_.emplace_back(std::make_unique<const std::string>(std::move(piece))));
   }
+  /// Keeps the owner of viewed pieces alive until everything has been written.
   void keep(std::shared_ptr<const void> owner) { owners_.push_back(std::move(owner)); }
-  void append(Gather other) {
+  void append(GatherBuffer other) {
     for (const std::string_view piece : other.pieces_) pieces_.push_back(piece);
     for (auto& text : other.texts_) texts_.push_back(std::move(text));
     for (auto& owner : other.owners_) owners_.push_back(std::move(owner));
@@ -33,17 +35,18 @@
   [[nodiscard]] const std::deque<std::string_view>& pieces() const { return pieces_; }
   [[nodiscard]] bool empty() const { return pieces_.empty(); }
   [[nodiscard]] std::size_t size() const {
-    std::size_t all = 0;
-    for (const std::string_view piece : pieces_) all += piece.size();
-    return all;
+    std::size_t total = 0;
+    for (const std::string_view piece : pieces_) total += piece.size();
+    return total;
   }
+  /// Removes bytes from the front after they were written.
   void written(std::size_t bytes) {
     while (bytes > 0 && !pieces_.empty()) {
-      const std::size_t here = std::min(bytes, pieces_.front().size());
-      pieces_.front().remove_prefix(here);
-      bytes -= here;
+      const std::size_t consumed = std::min(bytes, pieces_.front().size());
+      pieces_.front().remove_prefix(consumed);
+      bytes -= consumed;
       if (!pieces_.front().empty()) continue;
-      // Its bytes go with it: a long answer to a slow reader never has all of them at once.
+      // Free an owned piece once it is written, so that a long response to a slow reader doesn't accumulate.
       if (!texts_.empty() && ends(pieces_.front(), *texts_.front())) texts_.pop_front();
       pieces_.pop_front();
     }
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -8,18 +8,18 @@
 namespace rackroute::http {
 namespace {
 
-constexpr std::size_t kLongestLine = 256;  // bytes of a chunk's size line or of a trailer
+constexpr std::size_t kMaxLineBytes = 256;  // of a chunk's size line or a trailer field
 
-bool tokenChar(char c) {
+bool isTokenChar(char c) {
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
          std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
 
-bool token(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), tokenChar);
+bool isToken(std::string_view text) {
+  return !text.empty() && std::all_of(text.begin(), text.end(), isTokenChar);
 }
 
-bool printable(std::string_view text) {
+bool isPrintable(std::string_view text) {
   return std::none_of(text.begin(), text.end(), [](char c) {
     const auto byte = static_cast<unsigned char>(c);
     return (byte < 0x20 && c != '\t') || byte == 0x7f;
@@ -29,7 +29,7 @@
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 template <class Call>
-void eachListed(std::string_view list, Call call) {
+void forEachListItem(std::string_view list, Call call) {
   while (!list.empty()) {
     std::string_view item = list.substr(0, list.find(','));
     list.remove_prefix(std::min(list.size(), item.size() + 1));
@@ -41,49 +41,54 @@
 
 }  // namespace
 
-bool sameName(std::string_view a, std::string_view b) {
+bool equalsIgnoreCase(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
 std::optional<std::string_view> Message::field(std::string_view name) const {
   for (const Field& field : fields_) {
-    if (sameName(text(field.name), name)) return text(field.value);
+    if (equalsIgnoreCase(text(field.name), name)) return text(field.value);
   }
   return std::nullopt;
 }
 
 std::size_t Message::count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(
-      fields_.begin(), fields_.end(), [&](const Field& field) { return sameName(text(field.name), name); }));
+  return static_cast<std::size_t>(std::count_if(fields_.begin(), fields_.end(), [&](const Field& field) {
+    return equalsIgnoreCase(text(field.name), name);
+  }));
 }
 
-bool Message::endsOpen(std::string_view head) const {
-  const auto at = [&](Part part) { return head.substr(part.from, part.size); };
-  bool open = at(words_[status_ == 0 ? 2 : 0]) != "HTTP/1.0";
+bool Message::keepsAliveAfter(std::string_view head) const {
+  const auto at = [&](ByteRange range) { return head.substr(range.offset, range.size); };
+  bool keepAlive = at(startLine_[status_ == 0 ? 2 : 0]) != "HTTP/1.0";
   for (const Field& field : fields_) {
-    if (!sameName(at(field.name), "Connection")) continue;
-    eachListed(at(field.value), [&](std::string_view option) { open = open && !sameName(option, "close"); });
+    if (!equalsIgnoreCase(at(field.name), "Connection")) continue;
+    forEachListItem(at(field.value), [&](std::string_view option) {
+      keepAlive = keepAlive && !equalsIgnoreCase(option, "close");
+    });
   }
-  return open;
+  return keepAlive;
 }
 
-std::vector<std::string_view> Message::endToEnd(std::string_view but) const {
-  constexpr std::array<std::string_view, 9> kOwn = {"Connection", "Keep-Alive", "Proxy-Connection",
-                                                    "TE",         "Trailer",    "Transfer-Encoding",
-                                                    "Upgrade",    "Expect",     "Content-Length"};
+std::vector<std::string_view> Message::endToEndFields(std::string_view excluded) const {
+  constexpr std::array<std::string_view, 9> kHopByHop = {"Connection", "Keep-Alive", "Proxy-Connection",
+                                                         "TE",         "Trailer",    "Transfer-Encoding",
+                                                         "Upgrade",    "Expect",     "Content-Length"};
   std::vector<std::string_view> lines;
   for (const Field& field : fields_) {
     const std::string_view name = text(field.name);
-    bool own = sameName(name, but) ||
-               std::any_of(kOwn.begin(), kOwn.end(), [&](std::string_view o) { return sameName(o, name); });
+    bool dropped = equalsIgnoreCase(name, excluded) ||
+                   std::any_of(kHopByHop.begin(), kHopByHop.end(),
+                               [&](std::string_view o) { return equalsIgnoreCase(o, name); });
     for (const Field& other : fields_) {
-      if (!sameName(text(other.name), "Connection")) continue;
-      eachListed(text(other.value), [&](std::string_view option) { own = own || sameName(option, name); });
+      if (!equalsIgnoreCase(text(other.name), "Connection")) continue;
+      forEachListItem(text(other.value),
+                      [&](std::string_view option) { dropped = dropped || equalsIgnoreCase(option, name); });
     }
-    if (own) continue;
-    const std::size_t end = bytes_.find("\r\n", field.value.from + field.value.size) + 2;
-    const std::string_view line = std::string_view(bytes_).substr(field.name.from, end - field.name.from);
+    if (dropped) continue;
+    const std::size_t end = bytes_.find("\r\n", field.value.offset + field.value.size) + 2;
+    const std::string_view line = std::string_view(bytes_).substr(field.name.offset, end - field.name.offset);
     if (!lines.empty() && lines.back().data() + lines.back().size() == line.data()) {
       lines.back() = {lines.back().data(), lines.back().size() + line.size()};
     } else {
@@ -93,213 +98,220 @@
   return lines;
 }
 
-std::string chunkHead(std::size_t size) {
+std::string chunkHeader(std::size_t size) {
   std::array<char, 20> digits{};
   const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), size, 16).ptr;
   return std::string(digits.data(), end) + "\r\n";
 }
 
-Progress Chunks::read(std::string_view raw, std::size_t& used, std::string& out, std::size_t longest) {
-  used = 0;
+ParseStatus ChunkDecoder::read(std::string_view raw, std::size_t& consumed, std::string& out,
+                               std::size_t maxBytes) {
+  consumed = 0;
   for (;;) {
-    const std::string_view rest = raw.substr(used);
-    if (at_ == At::data) {
-      const std::size_t size = std::min(left_, rest.size());
+    const std::string_view rest = raw.substr(consumed);
+    if (state_ == State::data) {
+      const std::size_t size = std::min(remaining_, rest.size());
       out.append(rest.substr(0, size));
-      used += size;
-      left_ -= size;
-      if (left_ > 0) return Progress::more;
-      at_ = At::dataEnd;
+      consumed += size;
+      remaining_ -= size;
+      if (remaining_ > 0) return ParseStatus::needMore;
+      state_ = State::dataEnd;
       continue;
     }
     const std::size_t end = rest.find("\r\n");
     if (end == std::string_view::npos)
-      return rest.size() > kLongestLine ? Progress::malformed : Progress::more;
-    if (end > kLongestLine) return Progress::malformed;
+      return rest.size() > kMaxLineBytes ? ParseStatus::malformed : ParseStatus::needMore;
+    if (end > kMaxLineBytes) return ParseStatus::malformed;
     const std::string_view line = rest.substr(0, end);
-    used += end + 2;
-    if (at_ == At::dataEnd) {
-      if (!line.empty()) return Progress::malformed;
-      at_ = At::size;
-    } else if (at_ == At::trailer) {
-      if (line.empty()) return Progress::done;
+    consumed += end + 2;
+    if (state_ == State::dataEnd) {
+      if (!line.empty()) return ParseStatus::malformed;
+      state_ = State::size;
+    } else if (state_ == State::trailer) {
+      if (line.empty()) return ParseStatus::done;
     } else {
       const std::string_view digits = line.substr(0, line.find(';'));
-      const auto [last, error] = std::from_chars(digits.data(), digits.data() + digits.size(), left_, 16);
+      const auto [last, error] =
+          std::from_chars(digits.data(), digits.data() + digits.size(), remaining_, 16);
       if (error != std::errc{} || last != digits.data() + digits.size() || digits.size() > 8 ||
           digits[0] == '-')
-        return Progress::malformed;
-      if (out.size() + left_ > longest) return Progress::bodyTooLong;
-      at_ = left_ == 0 ? At::trailer : At::data;
+        return ParseStatus::malformed;
+      if (out.size() + remaining_ > maxBytes) return ParseStatus::bodyTooLong;
+      state_ = remaining_ == 0 ? State::trailer : State::data;
     }
   }
 }
 
-Progress Reader::readHead(std::string& in) {
-  // Guards against an empty line ahead of a query that comes in two pieces: it goes whenever it is whole.
-  while (kind_ == Kind::query && in.size() >= 2 && in[0] == '\r' && in[1] == '\n') {
+ParseStatus Reader::readHead(std::string& in) {
+  // Skip empty lines ahead of a request, also when CR and LF arrive separately.
+  while (kind_ == Kind::request && in.size() >= 2 && in[0] == '\r' && in[1] == '\n') {
     in.erase(0, 2);
     scanned_ = 0;
   }
   const std::size_t end = in.find("\r\n\r\n", scanned_ < 3 ? 0 : scanned_ - 3);
   scanned_ = in.size();
-  if (end == std::string::npos) return in.size() > kLongestHead ? Progress::headTooLong : Progress::more;
-  if (end + 4 > kLongestHead) return Progress::headTooLong;
+  if (end == std::string::npos)
+    return in.size() > kMaxHeadBytes ? ParseStatus::headTooLong : ParseStatus::needMore;
+  if (end + 4 > kMaxHeadBytes) return ParseStatus::headTooLong;
 
-  Message& made = message_;
-  // A folded field is one line that was broken: the break becomes spaces, as the standard has it. Never in
-  // the first line; a length broken so is no number any more.
-  for (std::size_t fold = in.find("\r\n"); fold < end; fold = in.find("\r\n", fold + 2)) {
-    if ((in[fold + 2] == ' ' || in[fold + 2] == '\t') && fold > in.find("\r\n"))
-      in[fold] = in[fold + 1] = ' ';
+  Message& message = message_;
+  // Replace the line break of a folded field by spaces (RFC 9112, 5.2), except in the start line. A folded
+  // length is no longer a valid number.
+  for (std::size_t lineBreak = in.find("\r\n"); lineBreak < end; lineBreak = in.find("\r\n", lineBreak + 2)) {
+    if ((in[lineBreak + 2] == ' ' || in[lineBreak + 2] == '\t') && lineBreak > in.find("\r\n"))
+      in[lineBreak] = in[lineBreak + 1] = ' ';
   }
   const std::string_view head = std::string_view(in).substr(0, end + 2);
-  const auto part = [](std::size_t from, std::size_t size) {
-    return Part{static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(size)};
+  const auto range = [](std::size_t offset, std::size_t size) {
+    return ByteRange{static_cast<std::uint32_t>(offset), static_cast<std::uint32_t>(size)};
   };
-  const auto text = [&](Part p) { return head.substr(p.from, p.size); };
-  const std::size_t firstEnd = head.find("\r\n");
-  const std::size_t one = head.find(' ');
-  if (one >= firstEnd) return Progress::malformed;
-  std::size_t two = head.find(' ', one + 1);
-  if (two >= firstEnd) {
-    if (kind_ == Kind::query) return Progress::malformed;
-    two = firstEnd;  // no reason phrase
+  const auto text = [&](ByteRange p) { return head.substr(p.offset, p.size); };
+  const std::size_t startLineEnd = head.find("\r\n");
+  const std::size_t firstSpace = head.find(' ');
+  if (firstSpace >= startLineEnd) return ParseStatus::malformed;
+  std::size_t secondSpace = head.find(' ', firstSpace + 1);
+  if (secondSpace >= startLineEnd) {
+    if (kind_ == Kind::request) return ParseStatus::malformed;
+    secondSpace = startLineEnd;  // no reason phrase
   }
-  made.words_[0] = part(0, one);
-  made.words_[1] = part(one + 1, two - one - 1);
-  made.words_[2] = two < firstEnd ? part(two + 1, firstEnd - two - 1) : part(firstEnd, 0);
-  if (!printable(head.substr(0, firstEnd))) return Progress::malformed;
-  const std::string_view version = text(made.words_[kind_ == Kind::query ? 2 : 0]);
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return Progress::malformed;
-  const std::string_view middle = text(made.words_[1]);
-  if (kind_ == Kind::query) {
-    if (!token(text(made.words_[0])) || middle.empty()) return Progress::malformed;
-    // The absolute form: servers get the path alone, and the authority told nothing that Host does not.
-    if (middle[0] != '/') {
-      const std::size_t path = sameName(middle.substr(0, 7), "http://") ? middle.find('/', 7) : middle.npos;
-      if (path == middle.npos || path == 7) return Progress::malformed;
-      made.words_[1] = part(one + 1 + path, middle.size() - path);
+  message.startLine_[0] = range(0, firstSpace);
+  message.startLine_[1] = range(firstSpace + 1, secondSpace - firstSpace - 1);
+  message.startLine_[2] = secondSpace < startLineEnd ? range(secondSpace + 1, startLineEnd - secondSpace - 1)
+                                                     : range(startLineEnd, 0);
+  if (!isPrintable(head.substr(0, startLineEnd))) return ParseStatus::malformed;
+  const std::string_view version = text(message.startLine_[kind_ == Kind::request ? 2 : 0]);
+  if (version != "HTTP/1.1" && version != "HTTP/1.0") return ParseStatus::malformed;
+  const std::string_view secondPart = text(message.startLine_[1]);
+  if (kind_ == Kind::request) {
+    if (!isToken(text(message.startLine_[0])) || secondPart.empty()) return ParseStatus::malformed;
+    // Absolute form: keep only the path, as Host repeats the authority.
+    if (secondPart[0] != '/') {
+      const std::size_t path =
+          equalsIgnoreCase(secondPart.substr(0, 7), "http://") ? secondPart.find('/', 7) : secondPart.npos;
+      if (path == secondPart.npos || path == 7) return ParseStatus::malformed;
+      message.startLine_[1] = range(firstSpace + 1 + path, secondPart.size() - path);
     }
   } else {
-    const auto [last, error] = std::from_chars(middle.data(), middle.data() + middle.size(), made.status_);
-    if (error != std::errc{} || last != middle.data() + middle.size() || middle.size() != 3 ||
-        made.status_ < 100)
-      return Progress::malformed;
+    const auto [last, error] =
+        std::from_chars(secondPart.data(), secondPart.data() + secondPart.size(), message.status_);
+    if (error != std::errc{} || last != secondPart.data() + secondPart.size() || secondPart.size() != 3 ||
+        message.status_ < 100)
+      return ParseStatus::malformed;
   }
-  for (std::size_t from = firstEnd + 2; from < head.size();) {
-    const std::size_t lineEnd = head.find("\r\n", from);
-    const std::size_t colon = head.find(':', from);
-    if (colon >= lineEnd || !token(head.substr(from, colon - from))) return Progress::malformed;
+  for (std::size_t offset = startLineEnd + 2; offset < head.size();) {
+    const std::size_t lineEnd = head.find("\r\n", offset);
+    const std::size_t colon = head.find(':', offset);
+    if (colon >= lineEnd || !isToken(head.substr(offset, colon - offset))) return ParseStatus::malformed;
     std::size_t first = colon + 1;
     std::size_t last = lineEnd;
     while (first < last && (head[first] == ' ' || head[first] == '\t')) ++first;
     while (last > first && (head[last - 1] == ' ' || head[last - 1] == '\t')) --last;
-    if (!printable(head.substr(first, last - first))) return Progress::malformed;
-    made.fields_.push_back({part(from, colon - from), part(first, last - first)});
-    from = lineEnd + 2;
+    if (!isPrintable(head.substr(first, last - first))) return ParseStatus::malformed;
+    message.fields_.push_back({range(offset, colon - offset), range(first, last - first)});
+    offset = lineEnd + 2;
   }
   headEnd_ = end + 4;
   return readFraming(head);
 }
 
-// Guards against a message that two readers would end at different places: one length, or chunked, not both.
-Progress Reader::readFraming(std::string_view head) {
-  const auto text = [&](Part p) { return head.substr(p.from, p.size); };
+// Determines the framing. Accepts one length or chunked, but not both, as parsers could disagree on the end.
+ParseStatus Reader::readFraming(std::string_view head) {
+  const auto text = [&](ByteRange p) { return head.substr(p.offset, p.size); };
   std::optional<std::string_view> length;
   for (const Field& field : message_.fields_) {
     const std::string_view value = text(field.value);
-    if (sameName(text(field.name), "Content-Length")) {
-      if (length && *length != value) return Progress::malformed;
+    if (equalsIgnoreCase(text(field.name), "Content-Length")) {
+      if (length && *length != value) return ParseStatus::malformed;
       length = value;
-    } else if (sameName(text(field.name), "Transfer-Encoding")) {
-      if (message_.chunked_ || !sameName(value, "chunked")) return Progress::malformed;
+    } else if (equalsIgnoreCase(text(field.name), "Transfer-Encoding")) {
+      if (message_.chunked_ || !equalsIgnoreCase(value, "chunked")) return ParseStatus::malformed;
       message_.chunked_ = true;
     }
   }
-  if (length && message_.chunked_) return Progress::malformed;
-  // The older version knows no chunks: who passes it on could read the body otherwise.
-  if (message_.chunked_ && text(message_.words_[kind_ == Kind::query ? 2 : 0]) == "HTTP/1.0")
-    return Progress::malformed;
+  if (length && message_.chunked_) return ParseStatus::malformed;
+  // HTTP/1.0 has no chunked encoding, so an intermediary could frame the body differently.
+  if (message_.chunked_ && text(message_.startLine_[kind_ == Kind::request ? 2 : 0]) == "HTTP/1.0")
+    return ParseStatus::malformed;
   if (length) {
     const auto [last, error] = std::from_chars(length->data(), length->data() + length->size(), length_);
     const bool digits = !length->empty() && (*length)[0] >= '0' && (*length)[0] <= '9';
-    if (!digits || last != length->data() + length->size()) return Progress::malformed;
-    if (error != std::errc{} || length_ > longestBody_) return Progress::bodyTooLong;
+    if (!digits || last != length->data() + length->size()) return ParseStatus::malformed;
+    if (error != std::errc{} || length_ > maxBodyBytes_) return ParseStatus::bodyTooLong;
     message_.length_ = length_;
   }
-  // Guards against an answer that ends with its connection though its sender did not say so: nobody could
-  // tell a whole one from a torn one.
-  if (kind_ == Kind::answer && !length && !message_.chunked_ && message_.status_ == 200 &&
-      message_.endsOpen(head))
-    return Progress::malformed;
-  return Progress::done;
+  // Reject a response delimited by connection close without "Connection: close": truncation could not be
+  // detected.
+  if (kind_ == Kind::response && !length && !message_.chunked_ && message_.status_ == 200 &&
+      message_.keepsAliveAfter(head))
+    return ParseStatus::malformed;
+  return ParseStatus::done;
 }
 
-Body::Body(const Message& head, Reader::Kind kind, std::size_t longest) : longest_(longest) {
+BodyReader::BodyReader(const Message& head, Reader::Kind kind, std::size_t maxBytes) : maxBytes_(maxBytes) {
   if (head.chunked()) {
-    how_ = How::chunked;
+    framing_ = Framing::chunked;
   } else if (head.length()) {
-    left_ = *head.length();
-  } else if (kind == Reader::Kind::answer && head.status() == 200) {
-    how_ = How::untilClose;
+    remaining_ = *head.length();
+  } else if (kind == Reader::Kind::response && head.status() == 200) {
+    framing_ = Framing::untilClose;
   }
 }
 
-Progress Body::read(std::string& in, std::string& out) {
+ParseStatus BodyReader::read(std::string& in, std::string& out) {
   const std::size_t before = out.size();
-  Progress progress = Progress::more;
-  if (how_ == How::chunked) {
-    std::size_t used = 0;
-    progress = chunks_.read(in, used, out, before + longest_);
-    in.erase(0, used);
+  ParseStatus progress = ParseStatus::needMore;
+  if (framing_ == Framing::chunked) {
+    std::size_t consumed = 0;
+    progress = chunkDecoder_.read(in, consumed, out, before + maxBytes_);
+    in.erase(0, consumed);
   } else {
-    const std::size_t size = how_ == How::length ? std::min(left_, in.size()) : in.size();
+    const std::size_t size = framing_ == Framing::length ? std::min(remaining_, in.size()) : in.size();
     out.append(in, 0, size);
     in.erase(0, size);
-    if (how_ == How::length && (left_ -= size) == 0) progress = Progress::done;
+    if (framing_ == Framing::length && (remaining_ -= size) == 0) progress = ParseStatus::done;
   }
   total_ += out.size() - before;
-  return total_ > longest_ ? Progress::bodyTooLong : progress;
+  return total_ > maxBytes_ ? ParseStatus::bodyTooLong : progress;
 }
 
-Progress Reader::read(std::string& in) {
+ParseStatus Reader::read(std::string& in) {
   if (headEnd_ == 0) {
-    const Progress head = readHead(in);
-    if (head != Progress::done) return head;
+    const ParseStatus head = readHead(in);
+    if (head != ParseStatus::done) return head;
     end_ = headEnd_;
   }
   if (!message_.chunked_) {
     end_ = headEnd_ + length_;
-    return in.size() >= end_ ? Progress::done : Progress::more;
+    return in.size() >= end_ ? ParseStatus::done : ParseStatus::needMore;
   }
-  std::size_t used = 0;
-  const Progress chunks =
-      chunks_.read(std::string_view(in).substr(end_), used, message_.unchunked_, longestBody_);
-  end_ += used;
-  // Guards against chunks of a byte each behind long size lines: the raw bytes have a bound too.
-  if (chunks == Progress::more && in.size() > headEnd_ + 2 * longestBody_) return Progress::bodyTooLong;
+  std::size_t consumed = 0;
+  const ParseStatus chunks =
+      chunkDecoder_.read(std::string_view(in).substr(end_), consumed, message_.decodedBody_, maxBodyBytes_);
+  end_ += consumed;
+  // Bound the raw bytes too, as small chunks can have long size lines.
+  if (chunks == ParseStatus::needMore && in.size() > headEnd_ + 2 * maxBodyBytes_)
+    return ParseStatus::bodyTooLong;
   return chunks;
 }
 
 Message Reader::take(std::string& in) {
-  Message made = std::move(message_);
+  Message message = std::move(message_);
   const std::size_t end = end_;
-  made.body_ = {static_cast<std::uint32_t>(headEnd_), static_cast<std::uint32_t>(length_)};
-  made.apart_ = made.chunked_;
-  *this = Reader(kind_, longestBody_);
+  message.body_ = {static_cast<std::uint32_t>(headEnd_), static_cast<std::uint32_t>(length_)};
+  message.bodyDetached_ = message.chunked_;
+  *this = Reader(kind_, maxBodyBytes_);
   std::string rest = in.substr(end);
-  made.bytes_ = std::move(in);
+  message.bytes_ = std::move(in);
   in = std::move(rest);
-  return made;
+  return message;
 }
 
 Message Reader::takeHead(std::string& in) {
-  Message made = std::move(message_);
-  made.bytes_ = in.substr(0, headEnd_);
+  Message message = std::move(message_);
+  message.bytes_ = in.substr(0, headEnd_);
   in.erase(0, headEnd_);
-  *this = Reader(kind_, longestBody_);
-  return made;
+  *this = Reader(kind_, maxBodyBytes_);
+  return message;
 }
 
 }  // namespace rackroute::http
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <numeric>
 
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::lab {
 namespace {
@@ -35,7 +35,7 @@
     std::array<char, 24> name{};
     std::snprintf(name.data(), name.size(), "s-%08x", static_cast<unsigned>(chance() & 0xffffffffU));
     server.name = name.data();
-    server.id = told::serverId(server.name);
+    server.id = settings::serverId(server.name);
     server.zone = {i % scenario.zones};
     server.cell = {static_cast<std::int64_t>(i % scenario.zones) * 1000 + i / scenario.zones / kCell};
     server.size = kind.cores;
--- a/src/lab/fleet/judge.cpp
+++ b/src/lab/fleet/judge.cpp
@@ -76,7 +76,7 @@
 void DrillJudge::started(Span now, std::uint32_t member) {
   runs(now, member, true);
   for (std::uint32_t i = 0; i < members_.size(); ++i) set(member, i, kUnknown);
-  members_[member].hearing = fleet::Hearing::alone;
+  members_[member].hearing = fleet::Connectivity::isolated;
   members_[member].wrongSince = Span::max();
 }
 
@@ -140,7 +140,7 @@
   if (observer != subject) set(observer, subject, kUnknown);
 }
 
-void DrillJudge::says(std::uint32_t member, fleet::Hearing hearing, std::size_t safe) {
+void DrillJudge::says(std::uint32_t member, fleet::Connectivity hearing, std::size_t safe) {
   members_[member].hearing = hearing;
   members_[member].safe = safe;
 }
--- a/src/lab/fleet/judge.hpp
+++ b/src/lab/fleet/judge.hpp
@@ -29,7 +29,7 @@
   void sees(Span now, std::uint32_t observer, std::uint32_t subject, fleet::State state);
   /// The member forgot it, or never knew it.
   void unknown(std::uint32_t observer, std::uint32_t subject);
-  void says(std::uint32_t member, fleet::Hearing hearing, std::size_t safe);
+  void says(std::uint32_t member, fleet::Connectivity hearing, std::size_t safe);
   void sent(Span now, std::uint32_t member, std::size_t bytes);
   void got(Span now, std::uint32_t member, std::size_t bytes);
   /// To be called often: judges what holds now.
@@ -51,7 +51,7 @@
     Span buriedAt = Span::min() / 2;  // last counted as a wrong death
     std::uint32_t wrong = 0;          // members that it sees otherwise than they are
     Span wrongSince = Span::max();    // by more than is promised
-    fleet::Hearing hearing = fleet::Hearing::whole;
+    fleet::Connectivity hearing = fleet::Connectivity::full;
     std::size_t safe = 0;
     std::vector<std::uint32_t> gets;  // messages by second
     std::uint64_t bytesIn = 0;
--- a/src/lab/fleet/relay.cpp
+++ b/src/lab/fleet/relay.cpp
@@ -53,7 +53,7 @@
     if (silent_ || !there || there->ended()) return;
     if (!may_) relay_.sent_(from_, to_, bytes.size());
     if (!may_) relay_.got_(from_, to_, bytes.size());
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.text(std::move(bytes));
     there->send(std::move(pieces));
   }
--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/rig.cpp
@@ -41,14 +41,14 @@
   void ask(const std::string& address) {
     timer_ = loop_.in(kDoorTime, [this] { end(Reason::silent); });
     dial(SocketAddress(address));
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.text("GET /ops/fleet HTTP/1.1\r\nHost: door\r\n\r\n");
     send(std::move(pieces));
   }
 
  protected:
   void received() override {
-    if (reader_.read(in_) != http::Progress::done) return;
+    if (reader_.read(in_) != http::ParseStatus::done) return;
     const http::Message answer = reader_.take(in_);
     if (answer.status() == 200 && start_ == rig_.starts_[member_])
       rig_.heard(member_, std::string(answer.body()));
@@ -63,7 +63,7 @@
   Rig& rig_;
   std::uint32_t member_;
   std::uint32_t start_;
-  http::Reader reader_{http::Reader::Kind::answer, kLongestAnswer};
+  http::Reader reader_{http::Reader::Kind::response, kLongestAnswer};
   sidecar::Loop::TimerId timer_;
 };
 
@@ -188,7 +188,8 @@
   for (std::uint32_t i = 0; i < drill_.members; ++i) {
     if (!seen[i]) judge_.unknown(member, i);
   }
-  for (const auto hearing : {fleet::Hearing::whole, fleet::Hearing::partial, fleet::Hearing::alone}) {
+  for (const auto hearing :
+       {fleet::Connectivity::full, fleet::Connectivity::partial, fleet::Connectivity::isolated}) {
     if (nameOf(hearing) == said["hearing"].get<std::string>())
       judge_.says(member, hearing, said["size"].get<std::size_t>());
   }
--- a/src/lab/fleet/virtual_fleet.cpp
+++ b/src/lab/fleet/virtual_fleet.cpp
@@ -28,23 +28,23 @@
 constexpr Span kTurn = 1ms;         // that such a turn takes
 constexpr std::size_t kHead = 60;   // bytes of a message beside its words
 
-std::size_t sizeOf(const std::vector<fleet::Word>& words) {
+std::size_t sizeOf(const std::vector<fleet::MemberUpdate>& words) {
   std::size_t size = 0;
-  for (const fleet::Word& word : words) size += fleet::sizeOf(word);
+  for (const fleet::MemberUpdate& word : words) size += fleet::maxEncodedSize(word);
   return size;
 }
 
-std::size_t sizeOf(const fleet::Marks& marks) { return marks.size() * 9; }
+std::size_t sizeOf(const fleet::BucketDigests& marks) { return marks.size() * 9; }
 
 class VirtualFleet;
 
 /// A process with its sockets.
-struct Place : fleet::Surroundings {
+struct Place : fleet::MembershipHost {
   Place(VirtualFleet& fleet, std::uint32_t number) : fleet_(fleet), number_(number) {}
   void send(const std::string& address, const Message& message) override;
   void exchange(const std::string& address) override;
-  void changed(const fleet::Held& member, std::optional<fleet::State> was) override;
-  void nameTaken(bool, const std::string&) override { ++taken; }
+  void memberChanged(const fleet::MemberRecord& member, std::optional<fleet::State> was) override;
+  void nameConflict(bool, const std::string&) override { ++taken; }
 
   VirtualFleet& fleet_;
   std::uint32_t number_;  // of the place; a twin's lies beyond the members'
@@ -74,7 +74,7 @@
 
   void send(std::uint32_t from, const std::string& address, const Message& message);
   void exchange(std::uint32_t from, const std::string& address);
-  void changed(std::uint32_t observer, const fleet::Held& member);
+  void changed(std::uint32_t observer, const fleet::MemberRecord& member);
 
  private:
   static constexpr std::uint32_t kTwins = 1;
@@ -112,14 +112,14 @@
   std::vector<std::unique_ptr<Place>> places_;
   std::map<fleet::MemberId, std::uint32_t> names_;
   std::unordered_map<std::string, std::uint32_t> addresses_;
-  fleet::Figures all_;
+  fleet::MembershipCounters all_;
 };
 
 void Place::send(const std::string& address, const Message& message) {
   fleet_.send(number_, address, message);
 }
 void Place::exchange(const std::string& address) { fleet_.exchange(number_, address); }
-void Place::changed(const fleet::Held& member, std::optional<fleet::State>) {
+void Place::memberChanged(const fleet::MemberRecord& member, std::optional<fleet::State>) {
   fleet_.changed(number_, member);
 }
 
@@ -127,7 +127,7 @@
   const auto to = addresses_.find(address);
   if (to == addresses_.end()) return;
   const std::uint32_t place = to->second;
-  const std::size_t bytes = kHead + fleet::sizeOf(message.self) + sizeOf(message.words);
+  const std::size_t bytes = kHead + fleet::maxEncodedSize(message.self) + sizeOf(message.updates);
   judge_.sent(now(), memberOf(from), bytes);
   std::shared_ptr<const Message> shared;
   for (const Passage& passage : ways_.pass(memberOf(from), memberOf(place))) {
@@ -135,7 +135,7 @@
     if (!shared) shared = std::make_shared<const Message>(message);
     timeline_.in(passage.delay, [this, place, bytes, shared] {
       if (places_[place]->membership) judge_.got(now(), memberOf(place), bytes);
-      at(place, [this, shared](Membership& member) { member.heard(now(), *shared); });
+      at(place, [this, shared](Membership& member) { member.handleMessage(now(), *shared); });
     });
   }
 }
@@ -148,11 +148,12 @@
   const std::uint32_t to = found->second;
   const auto way = ways_.connects(memberOf(from), memberOf(to));
   if (!way) return;
-  const fleet::Whole question = places_[from]->membership->question();
+  const fleet::ViewMessage question = places_[from]->membership->viewRequest();
   const Span until = now() + kDialTime;
-  const auto tell = [this](std::uint32_t one, std::uint32_t other, const fleet::Whole& whole,
+  const auto tell = [this](std::uint32_t one, std::uint32_t other, const fleet::ViewMessage& whole,
                            std::function<void(Membership&)> deed) {
-    const std::size_t bytes = kHead + fleet::sizeOf(whole.self) + sizeOf(whole.words) + sizeOf(whole.marks);
+    const std::size_t bytes =
+        kHead + fleet::maxEncodedSize(whole.self) + sizeOf(whole.updates) + sizeOf(whole.bucketDigests);
     judge_.sent(now(), memberOf(one), bytes);
     const auto back = ways_.connects(memberOf(one), memberOf(other));
     if (!back) return;
@@ -161,17 +162,19 @@
       at(other, deed);
     });
   };
-  const std::size_t size = kHead + fleet::sizeOf(question.self) + sizeOf(question.marks);
+  const std::size_t size = kHead + fleet::maxEncodedSize(question.self) + sizeOf(question.bucketDigests);
   judge_.sent(now(), memberOf(from), size);
   timeline_.in(2 * *way, [this, from, to, question, size, until, tell] {
     judge_.got(now(), memberOf(to), size);
     at(to, [this, from, to, question, until, tell](Membership& asked) {
       if (now() > until || asked.displaced() || asked.digest() == question.digest) return;
       asked.merge(now(), question);
-      const auto theirs = std::make_shared<const fleet::Whole>(asked.whole(now(), question.marks));
+      const auto theirs =
+          std::make_shared<const fleet::ViewMessage>(asked.viewFor(now(), question.bucketDigests));
       tell(to, from, *theirs, [this, from, to, theirs, tell](Membership& asker) {
-        const auto own = std::make_shared<const fleet::Whole>(asker.whole(now(), theirs->marks));
-        const bool fresh = own->words.empty();  // all that it can tell stood in its question
+        const auto own =
+            std::make_shared<const fleet::ViewMessage>(asker.viewFor(now(), theirs->bucketDigests));
+        const bool fresh = own->updates.empty();  // all that it can tell stood in its question
         asker.merge(now(), *theirs);
         if (!fresh) tell(from, to, *own, [this, own](Membership& other) { other.merge(now(), *own); });
       });
@@ -179,7 +182,7 @@
   });
 }
 
-void VirtualFleet::changed(std::uint32_t observer, const fleet::Held& member) {
+void VirtualFleet::changed(std::uint32_t observer, const fleet::MemberRecord& member) {
   if (observer >= drill_.members) return;
   if (const auto at = names_.find(member.id); at != names_.end() && at->second < drill_.members)
     judge_.sees(now(), observer, at->second, member.state);
@@ -238,14 +241,14 @@
   here.wakesAt = Span::max();
   std::vector<std::string> join;
   for (std::uint32_t i = 0; i < drill_.join; ++i) join.push_back(addressOf(i));
-  fleet::Rhythm rhythm;
+  fleet::MembershipConfig rhythm;
   rhythm.period = drill_.period;
   rhythm.lifeguard = drill_.lifeguard;
-  rhythm.most = 2 * std::max<std::size_t>(drill_.members, 1000);
+  rhythm.maxMembers = 2 * std::max<std::size_t>(drill_.members, 1000);
   const auto start = kEpoch + static_cast<std::uint64_t>(now() / 1ms);
   const std::string zone = std::string("z").append(std::to_string(place % drill_.zones));
   Chance chance = chanceOf(seed_, Purpose::policy, place * 1000ULL + here.starts);
-  here.membership = std::make_unique<Membership>(fleet::Card{name, addressOf(place), zone}, start, join,
+  here.membership = std::make_unique<Membership>(fleet::MemberInfo{name, addressOf(place), zone}, start, join,
                                                  rhythm, chance(), here);
 }
 
@@ -257,7 +260,7 @@
     case Deed::Kind::start:
       judge_.started(now(), deed.member);
       start(deed.member, nameOf(deed.member));
-      here.membership->begin(now());
+      here.membership->start(now());
       arm(deed.member);
       break;
     case Deed::Kind::leave:
@@ -283,7 +286,7 @@
       break;
     case Deed::Kind::twin:
       start(drill_.members, nameOf(deed.member));
-      places_[drill_.members]->membership->begin(now());
+      places_[drill_.members]->membership->start(now());
       arm(drill_.members);
       break;
     default:
@@ -294,7 +297,7 @@
 void VirtualFleet::look() {
   for (std::uint32_t i = 0; i < drill_.members; ++i) {
     if (const auto& membership = places_[i]->membership)
-      judge_.says(i, membership->hearing(), membership->safeCount());
+      judge_.says(i, membership->connectivity(), membership->safeCount());
   }
   judge_.look(now());
   timeline_.in(kLook, [this] { look(); });
@@ -302,17 +305,17 @@
 
 Json VirtualFleet::run(const std::function<void(double)>& progress) {
   if (drill_.warm) {
-    std::vector<fleet::Word> words;
+    std::vector<fleet::MemberUpdate> words;
     for (std::uint32_t i = 0; i < drill_.members; ++i) {
       judge_.started({}, i);
       start(i, nameOf(i));
       words.push_back(places_[i]->membership->self());
     }
-    std::ranges::sort(words, {}, &fleet::Word::id);
+    std::ranges::sort(words, {}, &fleet::MemberUpdate::id);
     judge_.warm();
     for (std::uint32_t i = 0; i < drill_.members; ++i) {
-      places_[i]->membership->know({}, words);
-      places_[i]->membership->begin({});
+      places_[i]->membership->addKnownMembers({}, words);
+      places_[i]->membership->start({});
       arm(i);
     }
     std::erase_if(table_.deeds,
@@ -332,7 +335,7 @@
   for (const auto& place : places_) {
     taken += place->taken;
     if (!place->membership) continue;
-    const fleet::Figures& figures = place->membership->figures();
+    const fleet::MembershipCounters& figures = place->membership->counters();
     all_.probes += figures.probes;
     all_.probesLost += figures.probesLost;
     all_.suspicions += figures.suspicions;
--- a/src/lab/fleet/ways.cpp
+++ b/src/lab/fleet/ways.cpp
@@ -88,12 +88,12 @@
 // A msgpack map of up to 14 fields gets one more.
 void Ways::renew(std::string& bytes) {
   constexpr unsigned kMap = 0x80;
-  if (bytes.size() <= fleet::kSeal) return;
-  std::string body = bytes.substr(fleet::kSeal);
+  if (bytes.size() <= fleet::kChecksumBytes) return;
+  std::string body = bytes.substr(fleet::kChecksumBytes);
   const auto first = static_cast<unsigned>(static_cast<unsigned char>(body[0]));
   if ((first & 0xf0U) != kMap || first == (kMap | 0xfU)) return;
   body[0] = static_cast<char>(first + 1);
-  bytes = fleet::sealed(body + "\x7f\xa3new");
+  bytes = fleet::withChecksum(body + "\x7f\xa3new");
 }
 
 }  // namespace rackroute::lab
--- a/src/lab/mesh/forward_relay.cpp
+++ b/src/lab/mesh/forward_relay.cpp
@@ -23,7 +23,7 @@
   std::function<void()> over;
   void write(std::string bytes) {
     if (ended()) return;
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.text(std::move(bytes));
     send(std::move(pieces));
   }
--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -66,7 +66,7 @@
           "\r\nRackroute-Deadline-Ms: " + std::to_string((wanted.until - context_.now()) / 1ms) + "\r\n";
   if (!wanted.key.empty()) text += "Rackroute-Operation-Key: " + wanted.key + "\r\n";
   text += route.sort == Sort::pure ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(std::move(text));
   context_.httpClient.send(context_.machines.at(machine, Port::outbound), std::move(pieces), "", false,
                            context_.zero + wanted.until + kSpare,
--- a/src/lab/mesh/process_operators.cpp
+++ b/src/lab/mesh/process_operators.cpp
@@ -17,7 +17,7 @@
 
 void ProcessOperators::call(const std::string& method, std::uint32_t control, const std::string& body,
                             HttpClient::Done done) {
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(method + " /rackroute/config HTTP/1.1\r\nHost: control\r\nContent-Type: application/json\r\n" +
               "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   context_.httpClient.send(context_.machines.at(control, Port::control), std::move(pieces), "", false,
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -20,14 +20,14 @@
 
 void answerUntilClose(const std::shared_ptr<HttpServerConnection>& connection, const std::string& fields,
                       const std::string& body) {
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text("HTTP/1.1 200 OK\r\n" + fields + "Connection: close\r\n\r\n" + body);
   connection->send(std::move(pieces));
   connection->finish(sidecar::Reason::done);
 }
 
-http::Gather callOf(const std::string& method, const std::string& path, const std::string& body) {
-  http::Gather pieces;
+http::GatherBuffer callOf(const std::string& method, const std::string& path, const std::string& body) {
+  http::GatherBuffer pieces;
   pieces.text(method + ' ' + path + " HTTP/1.1\r\nHost: control\r\nContent-Type: application/json\r\n" +
               "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   return pieces;
@@ -147,7 +147,7 @@
   const auto caller = request.field(kCaller);
   if (!caller || *caller != serviceName(callerOf_(attempt)))
     broken("its caller's service is told as " + std::string(caller.value_or("none")));
-  const bool pure = request.word(0) == "GET";
+  const bool pure = request.startLinePart(0) == "GET";
   if (request.body() != (pure ? "" : "body")) broken("its body was changed");
 }
 
@@ -194,7 +194,7 @@
   connection->answer(200, fields, body);
   if (!spoilt || connection->ended()) return;
   // A surplus answer, late, in the place of the next one.
-  http::Gather surplus;
+  http::GatherBuffer surplus;
   surplus.text("HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
                "\r\n\r\n" + body);
   connection->send(std::move(surplus));
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -35,7 +35,7 @@
 
 using namespace std::chrono_literals;
 using http::Message;
-using http::Progress;
+using http::ParseStatus;
 using Poco::Net::ReadableNotification;
 using Poco::Net::ServerSocket;
 using Poco::Net::SocketAddress;
@@ -119,7 +119,7 @@
   void idle();
   Stage& stage_;
   std::size_t server_;
-  http::Reader reader_{http::Reader::Kind::query};
+  http::Reader reader_{http::Reader::Kind::request};
   Loop::TimerId idle_;
 };
 
@@ -132,7 +132,7 @@
   void ask(std::uint32_t query, const std::string& bytes) {
     query_ = query;
     ++asked_;
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.text(bytes);
     send(std::move(pieces));
   }
@@ -144,7 +144,7 @@
   void gone(Reason reason) override;
   Stage& stage_;
   std::uint32_t balancer_;
-  http::Reader reader_{http::Reader::Kind::answer, kLongestAnswer};
+  http::Reader reader_{http::Reader::Kind::response, kLongestAnswer};
 };
 
 class DiscoveryLink : public Connection {
@@ -160,7 +160,7 @@
   void beat();
   Stage& stage_;
   std::uint32_t balancer_;
-  http::Reader reader_{http::Reader::Kind::query};
+  http::Reader reader_{http::Reader::Kind::request};
   Loop::TimerId beat_;
 };
 
@@ -305,7 +305,7 @@
 
 void ServerLink::received() {
   if (job_) return end(Reason::badMessage);
-  if (reader_.read(in_) == Progress::more) return;
+  if (reader_.read(in_) == ParseStatus::needMore) return;
   loop_.cancel(idle_);
   stage_.executionCame(*this, reader_.take(in_));
 }
@@ -313,7 +313,7 @@
 void ServerLink::reply(const std::string& bytes, bool thenEnd) {
   if (ended()) return;
   job_.reset();
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(bytes);
   send(std::move(pieces));
   if (thenEnd) return finish(Reason::done);
@@ -327,14 +327,14 @@
 }
 
 void ClientLink::received() {
-  if (reader_.read(in_) != Progress::done) return;
+  if (reader_.read(in_) != ParseStatus::done) return;
   stage_.answerCame(balancer_, *this, reader_.take(in_));
 }
 
 void ClientLink::gone(Reason) { stage_.clientLost(balancer_, *this); }
 
 void DiscoveryLink::received() {
-  if (watches_ || reader_.read(in_) != Progress::done) return;
+  if (watches_ || reader_.read(in_) != ParseStatus::done) return;
   stage_.discoveryAsked(balancer_, *this, reader_.take(in_));
 }
 
@@ -342,7 +342,7 @@
   if (ended()) return;
   std::ostringstream size;
   size << std::hex << line.size() + 1;
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(size.str() + "\r\n" + line + "\n\r\n");
   send(std::move(pieces));
   beat();
@@ -526,7 +526,7 @@
   auto link = std::make_shared<ClientLink>(*this, loop_, balancer);
   node.clients.emplace(link.get(), link);
   link->dial(SocketAddress(node.address));
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text("GET /up HTTP/1.1\r\nHost: b\r\n\r\n");
   link->send(std::move(pieces));
 }
@@ -672,7 +672,7 @@
   Node& node = nodes_[balancer];
   const auto query = std::exchange(link.query_, std::nullopt);
   in(Span{}, [this, balancer] { serveWaiting(balancer); });
-  if (message.keepsOpen())
+  if (message.keepsAlive())
     node.idle.push_back(node.clients.at(&link));
   else
     link.end(Reason::closeAsked);
@@ -958,12 +958,12 @@
 
 void Stage::discoveryAsked(std::uint32_t balancer, DiscoveryLink& link, const Message& message) {
   const std::optional<Span> done = registry_.call(now());
-  const bool watch = message.word(1).find("watch=1") != std::string_view::npos;
+  const bool watch = message.startLinePart(1).find("watch=1") != std::string_view::npos;
   const std::weak_ptr<Connection> weak = link.weak_from_this();
   const auto answer = [this, balancer, watch, weak, fails = !done] {
     const auto kept = std::static_pointer_cast<DiscoveryLink>(weak.lock());
     if (!kept || kept->ended()) return;
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     if (fails || registry_.isOut()) {
       pieces.text(answerBytes("503 Service Unavailable\r\nConnection: close\r\n", ""));
       kept->send(std::move(pieces));
--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -113,8 +113,8 @@
     shared_->asked = [this](const std::shared_ptr<HttpServerConnection>& connection,
                             std::shared_ptr<const http::Message> request) {
       bool known = false;
-      const auto called =
-          findCall(CallSocket::control, CallBy::core, request->word(0), request->word(1), known);
+      const auto called = findCall(CallSocket::control, CallBy::core, request->startLinePart(0),
+                                   request->startLinePart(1), known);
       if (!called) return connection->answer(known ? 405 : 404, "", "");
       const OperatorCallNo no{++lastCall_};
       calls_[no] = connection;
--- a/src/mesh/sidecar/request_messages.cpp
+++ b/src/mesh/sidecar/request_messages.cpp
@@ -12,17 +12,17 @@
 constexpr std::uint32_t kNotThatServer = 421;
 
 void beginRequest(std::string& head, const http::Message& request, std::string_view but) {
-  head += request.word(0);
+  head += request.startLinePart(0);
   head += ' ';
-  head += request.word(1);
+  head += request.startLinePart(1);
   head += " HTTP/1.1\r\n";
-  for (const std::string_view lines : request.endToEnd(but)) head += lines;
+  for (const std::string_view lines : request.endToEndFields(but)) head += lines;
 }
-http::Gather endRequest(std::string head, const RequestRef& request) {
+http::GatherBuffer endRequest(std::string head, const RequestRef& request) {
   if (!request->body().empty() || request->length() || request->chunked())
     head += "Content-Length: " + std::to_string(request->body().size()) + "\r\n";
   head += "\r\n";
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(std::move(head));
   pieces.keep(request);
   pieces.view(request->body());
@@ -30,8 +30,8 @@
 }
 
 // A question after a request has its head, as the answer may be that request's, and no body.
-http::Gather endQuestion(std::string head) {
-  http::Gather pieces;
+http::GatherBuffer endQuestion(std::string head) {
+  http::GatherBuffer pieces;
   pieces.text(std::move(head) + "Content-Length: 0\r\n\r\n");
   return pieces;
 }
@@ -68,7 +68,7 @@
   return Span(static_cast<Span::rep>(milliseconds * 1000));
 }
 
-http::Gather forwardMessage(const RequestRef& request, const ForwardRequest& ask) {
+http::GatherBuffer forwardMessage(const RequestRef& request, const ForwardRequest& ask) {
   // Fields of this connection alone are named in Connection: the next process drops them, and whatever a
   // client put under these names.
   std::string head;
@@ -80,7 +80,7 @@
   return endRequest(std::move(head), request);
 }
 
-http::Gather serverMessage(const RequestRef& request, const AdmissionAction& run) {
+http::GatherBuffer serverMessage(const RequestRef& request, const AdmissionAction& run) {
   std::string head;
   beginRequest(head, *request, kForwardHeader);
   head += std::string(kDeadline) + ": " + std::to_string(run.left / 1ms) + "\r\n";
--- a/src/mesh/sidecar/request_messages.hpp
+++ b/src/mesh/sidecar/request_messages.hpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "http/gather.hpp"
+#include "http/gather_buffer.hpp"
 #include "http/message.hpp"
 #include "mesh/admission/admission.hpp"
 #include "mesh/forwarding/forwarding.hpp"
@@ -23,9 +23,9 @@
 std::optional<Span> patienceOf(const http::Message& request);
 
 /// A request, or a question after one, as it goes to the sidecar beside a server.
-http::Gather forwardMessage(const RequestRef& request, const ForwardRequest& ask);
+http::GatherBuffer forwardMessage(const RequestRef& request, const ForwardRequest& ask);
 /// A request as the server here gets it.
-http::Gather serverMessage(const RequestRef& request, const AdmissionAction& run);
+http::GatherBuffer serverMessage(const RequestRef& request, const AdmissionAction& run);
 /// The field in which a forward's answer tells its verdict, with the line that keeps it on this connection.
 std::string replyFields(const ForwardReply& reply);
 
--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -118,7 +118,8 @@
   bool seesToEnd(const http::Message& request) {
     const Span now = loop_.now();
     if (now >= deadline_.endAt()) end();
-    const auto route = sidecar_.router().routes().find(request.field("Host").value_or(""), request.word(1));
+    const auto route =
+        sidecar_.router().routes().find(request.field("Host").value_or(""), request.startLinePart(1));
     if (!route) return true;
     const Span longest = std::min(patienceOf(request).value_or(route->timeout), route->timeout);
     return deadline_.takes(now, route->aim, longest);
@@ -136,7 +137,7 @@
     const CallNo no{++lastCall_};
     Asked asked;
     asked.host = request->field("Host").value_or("");
-    asked.path = request->word(1);
+    asked.path = request->startLinePart(1);
     asked.patience = patienceOf(*request);
     calls_[no] = {connection, request};
     act(sidecar_.asked(loop_.now(), no, asked));
@@ -182,7 +183,8 @@
   void called(CallSocket socket, const std::shared_ptr<HttpServerConnection>& connection,
               const http::Message& request) {
     bool known = false;
-    const auto call = findCall(socket, CallBy::auxiliary, request.word(0), request.word(1), known);
+    const auto call =
+        findCall(socket, CallBy::auxiliary, request.startLinePart(0), request.startLinePart(1), known);
     if (!call) return connection->answer(known ? 405 : 404, "", "");
     if (call->row->kind == CallKind::readiness)
       return connection->answer(sidecar_.ready(loop_.now()) ? 200 : 503, "", "");
@@ -263,7 +265,7 @@
   void forward(const Inside& inside, const RoutingAction& act) {
     const Span now = loop_.now();
     forwards_[act.sent] = forwardClient_.send(
-        act.at, forwardMessage(inside.request, act.ask), {}, inside.request->word(0) == "HEAD",
+        act.at, forwardMessage(inside.request, act.ask), {}, inside.request->startLinePart(0) == "HEAD",
         now + act.ask.left + kSpare + kForwardSpare,
         [this, call = act.call, sent = act.sent](RequestOutcome how, RequestRef answer) {
           forwarded(call, sent, how, std::move(answer));
@@ -306,7 +308,7 @@
     const std::string attempt(inside.request->field(kAttempt).value_or(""));
     const Span now = loop_.now();
     runs_[act.ask] = servers_.send(
-        act.server, serverMessage(inside.request, act), attempt, inside.request->word(0) == "HEAD",
+        act.server, serverMessage(inside.request, act), attempt, inside.request->startLinePart(0) == "HEAD",
         now + act.left + kSpare,
         [this, ask = act.ask](RequestOutcome how, const RequestRef& answer) {
           runs_.erase(ask);
--- a/src/mesh/transport/http_client.cpp
+++ b/src/mesh/transport/http_client.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using http::Progress;
+using http::ParseStatus;
 using sidecar::Reason;
 
 constexpr Span kKeepAliveMargin = 700ms;  // before the end that a peer announced; its clock and a trip
@@ -50,8 +50,8 @@
     });
     dial(Poco::Net::SocketAddress(to_.value));
   }
-  void request(std::uint64_t number, http::Gather pieces, std::string attempt, bool headOnly, Span until,
-               Done done) {
+  void request(std::uint64_t number, http::GatherBuffer pieces, std::string attempt, bool headOnly,
+               Span until, Done done) {
     number_ = number;
     attempt_ = std::move(attempt);
     headOnly_ = headOnly;
@@ -60,7 +60,7 @@
     skipped_ = false;
     keeps_ = true;
     writtenBefore_ = bytesWritten();
-    reader_ = http::Reader(http::Reader::Kind::answer, httpClient_.terms_.mostAnswer);
+    reader_ = http::Reader(http::Reader::Kind::response, httpClient_.terms_.mostAnswer);
     head_.reset();
     held_.clear();
     send(std::move(pieces));
@@ -101,20 +101,20 @@
   void received() override {
     if (!done_) return end(Reason::unreadAnswer);  // bytes that nobody asked for
     for (;;) {
-      const Progress progress = readAnswer();
-      if (progress == Progress::more) return;
-      if (progress != Progress::done) return spoil();
+      const ParseStatus progress = readAnswer();
+      if (progress == ParseStatus::needMore) return;
+      if (progress != ParseStatus::done) return spoil();
       auto answer = takeAnswer();
       // Guards against an answer to an earlier request that comes in this one's place.
       if (!names(*answer)) {
         skipped_ = true;
-        if (!answer->keepsOpen()) return spoil();
+        if (!answer->keepsAlive()) return spoil();
         continue;
       }
       ++messages_;
       // Guards against a server that answered before it had the whole body, and reads on later: what is sent
       // next would come in the place of the rest.
-      keeps_ = answer->keepsOpen() && in_.empty() && !skipped_ && allWritten();
+      keeps_ = answer->keepsAlive() && in_.empty() && !skipped_ && allWritten();
       idle_ = httpClient_.terms_.idle;
       if (const auto promised = promisedIdle(*answer)) idle_ = std::min(idle_, *promised - kKeepAliveMargin);
       if (idle_ <= Span{0}) keeps_ = false;
@@ -135,22 +135,23 @@
 
  private:
   /// The head of the answer proper, then its body; done: takeAnswer() has both.
-  Progress readAnswer() {
+  ParseStatus readAnswer() {
     while (!head_) {
-      const Progress progress = reader_.readHead(in_);
-      if (progress != Progress::done) return progress;
+      const ParseStatus progress = reader_.readHead(in_);
+      if (progress != ParseStatus::done) return progress;
       auto head = std::make_shared<http::Message>(reader_.takeHead(in_));
       if (head->status() < 200) continue;  // word that an answer will come
-      if (!headOnly_ && hidesItsEnd(*head)) return Progress::malformed;
-      body_ = headOnly_ ? http::Body()
-                        : http::Body(*head, http::Reader::Kind::answer, httpClient_.terms_.mostAnswer);
+      if (!headOnly_ && hidesItsEnd(*head)) return ParseStatus::malformed;
+      body_ = headOnly_
+                  ? http::BodyReader()
+                  : http::BodyReader(*head, http::Reader::Kind::response, httpClient_.terms_.mostAnswer);
       head_ = std::move(head);
     }
     return body_.read(in_, held_);
   }
   std::shared_ptr<const http::Message> takeAnswer() {
     const auto answer = std::exchange(head_, nullptr);
-    if (!headOnly_) answer->giveBody(std::exchange(held_, {}));
+    if (!headOnly_) answer->setBody(std::exchange(held_, {}));
     return answer;
   }
   /// A success without a length, other than a 200: http::Body reads only that one until the connection ends.
@@ -186,9 +187,9 @@
 
   HttpClient& httpClient_;
   Address to_;
-  http::Reader reader_{http::Reader::Kind::answer};
+  http::Reader reader_{http::Reader::Kind::response};
   std::shared_ptr<http::Message> head_;  // of the answer that is being read
-  http::Body body_;                      // likewise
+  http::BodyReader body_;                // likewise
   std::string held_;                     // what has come of it
   Done done_;
   std::string attempt_;
@@ -211,7 +212,7 @@
   if (const auto connection = connection_.lock()) connection->cancel(number_);
 }
 
-HttpClient::InFlight HttpClient::send(const Address& to, http::Gather request, std::string attempt,
+HttpClient::InFlight HttpClient::send(const Address& to, http::GatherBuffer request, std::string attempt,
                                       bool headOnly, Span until, Done done, Span sendBy) {
   const std::uint64_t number = ++requests_;
   for (;;) {
--- a/src/mesh/transport/http_client.hpp
+++ b/src/mesh/transport/http_client.hpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "http/gather.hpp"
+#include "http/gather_buffer.hpp"
 #include "http/message.hpp"
 #include "mesh/names.hpp"
 #include "sidecar/connection.hpp"
@@ -67,7 +67,7 @@
   /// attempt: what an answer must name to be this request's; empty: any does. done is called exactly once, in
   /// a later turn, unless it is cancelled; until: silence is the end of it then; sendBy: without a connection
   /// by then it is not sent.
-  InFlight send(const Address& to, http::Gather request, std::string attempt, bool headOnly, Span until,
+  InFlight send(const Address& to, http::GatherBuffer request, std::string attempt, bool headOnly, Span until,
                 Done done, Span sendBy = Span::max());
   [[nodiscard]] std::size_t dialled() const { return dialled_; }
 
--- a/src/mesh/transport/http_server_connection.cpp
+++ b/src/mesh/transport/http_server_connection.cpp
@@ -5,7 +5,7 @@
 namespace rackroute::mesh {
 namespace {
 
-using http::Progress;
+using http::ParseStatus;
 using sidecar::Reason;
 
 constexpr std::size_t kMostAhead = 64 * 1024;  // bytes of further requests read while one is at work
@@ -45,7 +45,7 @@
                                            Poco::Net::StreamSocket socket, std::string peer)
     : Connection(loop, "connection", std::move(socket), std::move(peer)),
       shared_(std::move(shared)),
-      reader_(http::Reader::Kind::query, shared_->mostBody) {}
+      reader_(http::Reader::Kind::request, shared_->mostBody) {}
 
 void HttpServerConnection::start() {
   shared_->connections[this] = std::static_pointer_cast<HttpServerConnection>(shared_from_this());
@@ -58,7 +58,7 @@
 void HttpServerConnection::await() {
   loop_.cancel(timer_);
   Span wait = shared_->idle;
-  const bool begun = reader_.begun(in_);
+  const bool begun = reader_.hasInput(in_);
   if (begun) wait = headerSeen_ ? shared_->body : shared_->header;
   timer_ = loop_.in(wait, [this, begun] {
     timer_ = {};
@@ -73,9 +73,9 @@
     return;
   }
   const bool begun = begunAt_ >= Span{0};
-  const Progress progress = reader_.read(in_);
+  const ParseStatus progress = reader_.read(in_);
   switch (progress) {
-    case Progress::more: {
+    case ParseStatus::needMore: {
       const bool headNow = in_.find("\r\n\r\n") != std::string::npos;
       if (!begun || headNow != headerSeen_) {
         begunAt_ = loop_.now();
@@ -84,13 +84,13 @@
       }
       return;
     }
-    case Progress::done:
+    case ParseStatus::done:
       break;
-    case Progress::malformed:
+    case ParseStatus::malformed:
       return refuse(400);
-    case Progress::headTooLong:
+    case ParseStatus::headTooLong:
       return refuse(431);
-    case Progress::bodyTooLong:
+    case ParseStatus::bodyTooLong:
       return refuse(413);
   }
   loop_.cancel(timer_);
@@ -102,7 +102,7 @@
 }
 
 void HttpServerConnection::refuse(std::uint32_t status) {
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text("HTTP/1.1 " + std::string(phraseOf(status)) +
               "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   in_.clear();
@@ -110,9 +110,9 @@
   finish(Reason::badMessage);
 }
 
-bool HttpServerConnection::closes() const { return shared_->closing || !request_->keepsOpen(); }
+bool HttpServerConnection::closes() const { return shared_->closing || !request_->keepsAlive(); }
 
-void HttpServerConnection::answered(http::Gather pieces, bool close) {
+void HttpServerConnection::answered(http::GatherBuffer pieces, bool close) {
   request_.reset();
   send(std::move(pieces));
   if (ended()) return;
@@ -136,8 +136,8 @@
   text += fields;
   text += "Content-Length: " + std::to_string(body.size()) +
           (close ? "\r\nConnection: close\r\n\r\n" : "\r\n\r\n");
-  if (request_->word(0) != "HEAD") text += body;
-  http::Gather pieces;
+  if (request_->startLinePart(0) != "HEAD") text += body;
+  http::GatherBuffer pieces;
   pieces.text(std::move(text));
   answered(std::move(pieces), close);
 }
@@ -147,20 +147,20 @@
   if (!request_ || ended() || finishing()) return;
   const bool close = closes();
   std::string head = "HTTP/1.1 ";
-  head += message->word(1);
+  head += message->startLinePart(1);
   head += ' ';
-  head += message->word(2);
+  head += message->startLinePart(2);
   head += "\r\n";
-  for (const std::string_view lines : message->endToEnd(but)) head += lines;
+  for (const std::string_view lines : message->endToEndFields(but)) head += lines;
   head += fields;
   const bool bodiless = message->status() == 204 || message->status() == 304;
   if (!bodiless) {
-    const bool asksHead = request_->word(0) == "HEAD";
+    const bool asksHead = request_->startLinePart(0) == "HEAD";
     head += "Content-Length: " +
             std::to_string(asksHead ? message->length().value_or(0) : message->body().size()) + "\r\n";
   }
   head += close ? "Connection: close\r\n\r\n" : "\r\n";
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(std::move(head));
   pieces.keep(message);
   pieces.view(message->body());
--- a/src/mesh/transport/http_server_connection.hpp
+++ b/src/mesh/transport/http_server_connection.hpp
@@ -21,7 +21,7 @@
     std::function<void(const std::shared_ptr<HttpServerConnection>&, std::shared_ptr<const http::Message>)>
         asked;
     std::function<void(HttpServerConnection&)> left;  // before its answer
-    std::size_t mostBody = http::kLongestBody;
+    std::size_t mostBody = http::kMaxBodyBytes;
     Span header = std::chrono::seconds(3);  // from a request's first byte to its head's last
     Span body = std::chrono::seconds(10);   // from there to its body's last byte
     Span idle = std::chrono::seconds(15);
@@ -47,7 +47,7 @@
  private:
   void refuse(std::uint32_t status);
   void await();
-  void answered(http::Gather pieces, bool close);
+  void answered(http::GatherBuffer pieces, bool close);
   [[nodiscard]] bool closes() const;
 
   std::shared_ptr<Shared> shared_;
--- a/src/mesh/transport/session_connection.cpp
+++ b/src/mesh/transport/session_connection.cpp
@@ -50,7 +50,7 @@
   if (ended()) return;
   // Guards against a peer that reads nothing: what waits for it must not eat the memory.
   if (backlog() > kMostBacklog) return end(Reason::stalled);
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   if (worthPacking(*text)) {
     if (auto packed = compressor_.packed(text)) {
       pieces.text(std::string(kPacked) + std::to_string(packed->size()) + ' ' + std::to_string(text->size()) +
--- a/src/sidecar/admin_side.cpp
+++ b/src/sidecar/admin_side.cpp
@@ -20,7 +20,7 @@
 
 using namespace std::chrono_literals;
 using http::Message;
-using http::Progress;
+using http::ParseStatus;
 
 constexpr Span kWholeCall = 5s;        // for a call to come whole; above what slow callers were seen to take
 constexpr std::size_t kMostOpen = 32;  // connections; a few operators, a scraper and some that say nothing
@@ -56,19 +56,19 @@
  protected:
   void received() override {
     if (asked_) return in_.clear();
-    const Progress progress = reader_.read(in_);
-    if (progress == Progress::more) return;
-    if (progress == Progress::headTooLong)
+    const ParseStatus progress = reader_.read(in_);
+    if (progress == ParseStatus::needMore) return;
+    if (progress == ParseStatus::headTooLong)
       return answer("431 Request Header Fields Too Large", "the head is too long\n");
-    if (progress == Progress::bodyTooLong)
+    if (progress == ParseStatus::bodyTooLong)
       return answer("413 Content Too Large", "no call here has such a body\n");
-    if (progress != Progress::done) return answer("400 Bad Request", "the call can't be read\n");
+    if (progress != ParseStatus::done) return answer("400 Bad Request", "the call can't be read\n");
     ++messages_;
     asked_ = true;
     const Message call = reader_.take(in_);
     in_.clear();
-    const std::string_view target = call.word(1);
-    serve(call.word(0), target.substr(0, target.find('?')));
+    const std::string_view target = call.startLinePart(1);
+    serve(call.startLinePart(0), target.substr(0, target.find('?')));
   }
   void gone(Reason) override {
     loop_.cancel(timer_);
@@ -99,7 +99,7 @@
       return answer("400 Bad Request", "the server's name can't be read\n");
     }
     if (id.empty() || id.size() > kLongestId) return answer("404 Not Found", "no such server\n");
-    const ServerId server = told::serverId(id);
+    const ServerId server = settings::serverId(id);
     if (!side_.exchange_.known(server)) return answer("404 Not Found", "no list ever named that server\n");
     Line(Level::info) << "maintenance server=" << id << (out ? " down" : " up");
     const auto self = std::static_pointer_cast<AdminConnection>(shared_from_this());
@@ -112,7 +112,7 @@
     if (ended() || finishing()) return;
     asked_ = true;
     loop_.cancel(timer_);
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     std::string head = "HTTP/1.1 ";
     head.append(status).append("\r\n").append(fields);
     pieces.text(head + "Content-Length: " + std::to_string(text.size()) + "\r\nConnection: close\r\n\r\n" +
@@ -122,12 +122,13 @@
   }
 
   AdminSide& side_;
-  http::Reader reader_{http::Reader::Kind::query};
+  http::Reader reader_{http::Reader::Kind::request};
   Loop::TimerId timer_;
   bool asked_ = false;  // the call was read whole
 };
 
-AdminSide::AdminSide(Loop& loop, Exchange& exchange, const told::Told& told, Maintenance maintain)
+AdminSide::AdminSide(Loop& loop, Exchange& exchange, const settings::ParsedSettings& told,
+                     Maintenance maintain)
     : loop_(loop), exchange_(exchange), told_(told), maintain_(std::move(maintain)) {}
 
 AdminSide::~AdminSide() = default;
--- a/src/sidecar/admin_side.hpp
+++ b/src/sidecar/admin_side.hpp
@@ -16,7 +16,7 @@
 
 #include "rackroute/balancer.hpp"
 #include "sidecar/loop.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -29,7 +29,7 @@
 
 class AdminSide {
  public:
-  AdminSide(Loop& loop, Exchange& exchange, const told::Told& told, Maintenance maintain);
+  AdminSide(Loop& loop, Exchange& exchange, const settings::ParsedSettings& told, Maintenance maintain);
   AdminSide(const AdminSide&) = delete;
   AdminSide& operator=(const AdminSide&) = delete;
   ~AdminSide();
@@ -49,7 +49,7 @@
 
   Loop& loop_;
   Exchange& exchange_;
-  const told::Told& told_;
+  const settings::ParsedSettings& told_;
   Maintenance maintain_;
   const FleetSide* fleet_ = nullptr;
   Poco::Net::ServerSocket listener_;
--- a/src/sidecar/client_side.cpp
+++ b/src/sidecar/client_side.cpp
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 using http::Message;
-using http::Progress;
+using http::ParseStatus;
 
 constexpr Span kIdle = 2100ms;      // without a query; what clients are promised and a margin
 constexpr Span kLongestRead = 10s;  // without a byte read of an answer; a slow reader takes some all the time
@@ -72,7 +72,7 @@
     open();
     readNow();  // most often the query is there already
   }
-  void answer(http::Gather head, const std::shared_ptr<const Message>& body = nullptr) {
+  void answer(http::GatherBuffer head, const std::shared_ptr<const Message>& body = nullptr) {
     std::string rest = "Content-Length: " + std::to_string(body ? body->body().size() : 0) + "\r\n";
     const Reason reason = why();
     rest += reason != Reason::done ? "Connection: close\r\n\r\n" : "\r\n";
@@ -94,23 +94,23 @@
     if (chunks_) rest = "Transfer-Encoding: chunked\r\n";
     ends_ = why();
     streams_ = true;
-    http::Gather head;
+    http::GatherBuffer head;
     head.text("HTTP/1.1 200 OK\r\n");
-    for (const std::string_view lines : answer.endToEnd("X-Load")) head.text(std::string(lines));
+    for (const std::string_view lines : answer.endToEndFields("X-Load")) head.text(std::string(lines));
     head.text(rest + (ends_ != Reason::done ? "Connection: close\r\n\r\n" : "\r\n"));
     send(std::move(head));
     awaitRead();
   }
   bool part(std::string data) {
-    http::Gather pieces;
-    if (chunks_) pieces.text(http::chunkHead(data.size()));
+    http::GatherBuffer pieces;
+    if (chunks_) pieces.text(http::chunkHeader(data.size()));
     pieces.text(std::move(data));
     if (chunks_) pieces.text("\r\n");
     send(std::move(pieces));
     return backlog() > side_.mostBacklog_;
   }
   void last() {
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     if (chunks_) pieces.text("0\r\n\r\n");
     streams_ = false;
     send(std::move(pieces));
@@ -122,7 +122,7 @@
     endCut(Reason::cut);
   }
   void answer(int status, const std::string& fields = {}) {
-    http::Gather head;
+    http::GatherBuffer head;
     head.text("HTTP/1.1 " + std::string(phrase(status)) + "\r\n" + fields);
     answer(std::move(head));
   }
@@ -137,7 +137,7 @@
   }
   /// Closes it if it is between queries, with nothing of the next in sight.
   bool endIfIdle(Reason reason) {
-    if (query_ || head_ || messages_ == 0 || reader_.begun(in_) || !allWritten() || stale()) return false;
+    if (query_ || head_ || messages_ == 0 || reader_.hasInput(in_) || !allWritten() || stale()) return false;
     end(reason);
     return true;
   }
@@ -148,7 +148,7 @@
     if (finishing()) return std::pair(0, idleFrom_);
     if (!allWritten()) return std::nullopt;
     if (messages_ == 0) return std::pair(loop_.now() - idleFrom_ > kFresh ? 1 : 3, idleFrom_);
-    return std::pair(reader_.begun(in_) ? 3 : 2, idleFrom_);
+    return std::pair(reader_.hasInput(in_) ? 3 : 2, idleFrom_);
   }
   /// Closes it unless a query of it is in flight.
   void endUnlessBusy() {
@@ -179,21 +179,21 @@
       // Guards against a client that sends on without waiting for its answer, which no client is allowed to:
       // how its messages are to be told apart is not to be relied on.
       if (query_) return leave("not_one_at_a_time");
-      const Progress progress = reader_.readHead(in_);
-      if (progress == Progress::more) return begun();
-      if (progress == Progress::headTooLong) return refuse(431, "head_too_long");
-      if (progress == Progress::bodyTooLong) return refuse(413, "body_too_long");
-      if (progress == Progress::malformed) return refuse(400, "malformed");
+      const ParseStatus progress = reader_.readHead(in_);
+      if (progress == ParseStatus::needMore) return begun();
+      if (progress == ParseStatus::headTooLong) return refuse(431, "head_too_long");
+      if (progress == ParseStatus::bodyTooLong) return refuse(413, "body_too_long");
+      if (progress == ParseStatus::malformed) return refuse(400, "malformed");
       takeHead();
       // Guards against a long body that is read in vain.
       Query query;
       if (const std::string_view lack = read(*head_, query); !lack.empty() && !isUp(*head_))
         return refuse(400, lack);
     }
-    const Progress progress = body_.read(in_, held_);
-    if (progress == Progress::bodyTooLong) return spoilt(413, "body_too_long");
-    if (progress == Progress::malformed) return spoilt(400, "malformed");
-    const bool whole = progress == Progress::done;
+    const ParseStatus progress = body_.read(in_, held_);
+    if (progress == ParseStatus::bodyTooLong) return spoilt(413, "body_too_long");
+    if (progress == ParseStatus::malformed) return spoilt(400, "malformed");
+    const bool whole = progress == ParseStatus::done;
     if (whole && !in_.empty()) return spoilt(400, "not_one_at_a_time");
     if (!coming_ && !whole && held_.size() <= kHeldWhole) return;
     if (!coming_) take(whole);
@@ -217,15 +217,15 @@
   void takeHead() {
     ++messages_;
     head_ = std::make_shared<Message>(reader_.takeHead(in_));
-    body_ = http::Body(*head_, http::Reader::Kind::query, http::kLongestStreamed);
+    body_ = http::BodyReader(*head_, http::Reader::Kind::request, http::kMaxStreamedBodyBytes);
     begins_ = false;
-    old_ = head_->word(2) == "HTTP/1.0";
-    closes_ = !head_->keepsOpen();
+    old_ = head_->startLinePart(2) == "HTTP/1.0";
+    closes_ = !head_->keepsAlive();
     bodyFrom_ = loop_.now();
     bodyAt_ = moved();
     watchBody();
-    if (in_.empty() && !old_ && http::sameName(head_->field("Expect").value_or(""), "100-continue")) {
-      http::Gather go;
+    if (in_.empty() && !old_ && http::equalsIgnoreCase(head_->field("Expect").value_or(""), "100-continue")) {
+      http::GatherBuffer go;
       go.text("HTTP/1.1 100 Continue\r\n\r\n");
       send(std::move(go));
     }
@@ -235,18 +235,20 @@
     head_.reset();
     loop_.cancel(timer_);
   }
-  static bool isUp(const Message& message) { return message.word(0) == "GET" && message.word(1) == "/up"; }
+  static bool isUp(const Message& message) {
+    return message.startLinePart(0) == "GET" && message.startLinePart(1) == "/up";
+  }
   /// Hands the query on, whole or with its body still coming.
   void take(bool whole) {
     const auto message = head_;
     if (whole) {
-      message->giveBody(std::exchange(held_, {}));
+      message->setBody(std::exchange(held_, {}));
       bodyEnded();
     }
     if (isUp(*message) && whole) return answer(200);
     Query query;
     if (std::string_view lack = read(*message, query); !lack.empty()) return refuse(400, lack);
-    if (!whole && message->word(0) == "GET") return refuse(400, "body");
+    if (!whole && message->startLinePart(0) == "GET") return refuse(400, "body");
     query.coming = coming_ = !whole;
     if (coming_) query.mostExecutions = 1;  // what was passed on is not kept
     query_ = query.id;
@@ -272,7 +274,7 @@
     idleFrom_ = loop_.now();
     if (reason != Reason::done) {
       // Guards against an answer that a reset overtakes while its query's body is still coming.
-      if (coming_) lingerFor(http::kLongestStreamed, kReadOn);
+      if (coming_) lingerFor(http::kMaxStreamedBodyBytes, kReadOn);
       loop_.cancel(timer_);
       if (!allWritten()) awaitRead();
       return finish(reason);
@@ -344,11 +346,11 @@
     // Guards against a second query under the id of one in flight: servers could not tell them apart.
     if (side_.openIds_.contains(*id)) return "id_in_flight";
     try {
-      query.useCase = {side_.told_.useCases.known(*useCase, "class")};
-    } catch (const told::Malformed&) {
+      query.useCase = {side_.told_.useCases.idOf(*useCase, "class")};
+    } catch (const settings::MalformedValue&) {
       return "unknown_class";
     }
-    std::string_view path = message.word(1);
+    std::string_view path = message.startLinePart(1);
     path = path.substr(1, path.find('?') - 1);
     if (path.substr(0, path.find('/')) != *useCase) return "path_of_another_class";
     std::uint32_t millis = 0;
@@ -356,8 +358,8 @@
     if (end.ec != std::errc{} || end.ptr != time->data() + time->size() || millis == 0)
       return "deadline_not_whole_milliseconds";
     query.timeLeft = std::min<Span>(std::chrono::milliseconds(millis), kLongestTime);
-    const Repeat repeat = side_.told_.terms.useCases[query.useCase.value].repeat;
-    if (message.word(0) != (repeat == Repeat::idempotent ? "GET" : "POST")) return "method";
+    const Repeat repeat = side_.told_.config.useCases[query.useCase.value].repeat;
+    if (message.startLinePart(0) != (repeat == Repeat::idempotent ? "GET" : "POST")) return "method";
     if (repeat == Repeat::idempotent && !message.body().empty()) return "body";
     if (repeat == Repeat::deduplicated && message.field("Idempotency-Key").value_or("").empty())
       return "no_mark_against_repeats";
@@ -369,17 +371,17 @@
     if (!last.empty())
       query.key = read.ec == std::errc{} && read.ptr == last.data() + last.size()
                       ? KeyId{key}
-                      : KeyId{told::serverId(last).value};
+                      : KeyId{settings::serverId(last).value};
     query.id = {++side_.lastQuery_};
     return {};
   }
 
   ClientSide& side_;
-  http::Reader reader_{http::Reader::Kind::query, http::kLongestStreamed};
+  http::Reader reader_{http::Reader::Kind::request, http::kMaxStreamedBodyBytes};
   std::optional<QueryId> query_;   // read, and not yet answered
   std::string openId_;             // the id it came with
   std::shared_ptr<Message> head_;  // of a query whose body is still coming
-  http::Body body_;
+  http::BodyReader body_;
   std::string held_;  // of that body
   Span bodyFrom_{};   // when it began, and the bytes moved until then
   std::uint64_t bodyAt_ = 0;
@@ -395,7 +397,7 @@
   bool closes_ = false;
 };
 
-ClientSide::ClientSide(Loop& loop, Exchange& exchange, const told::Told& told)
+ClientSide::ClientSide(Loop& loop, Exchange& exchange, const settings::ParsedSettings& told)
     : loop_(loop), exchange_(exchange), told_(told) {}
 
 ClientSide::~ClientSide() = default;
@@ -472,16 +474,16 @@
   return connection;
 }
 
-void ClientSide::answer(QueryId query, http::Gather pieces) {
+void ClientSide::answer(QueryId query, http::GatherBuffer pieces) {
   if (ClientConnection* const connection = release(query)) connection->answer(std::move(pieces));
 }
 
 void ClientSide::complete(QueryId query, const std::shared_ptr<const Message>& answer) {
   ClientConnection* const connection = release(query);
   if (connection == nullptr) return;
-  http::Gather head;
+  http::GatherBuffer head;
   head.text("HTTP/1.1 200 OK\r\n");
-  for (const std::string_view lines : answer->endToEnd("X-Load")) head.view(lines);
+  for (const std::string_view lines : answer->endToEndFields("X-Load")) head.view(lines);
   connection->answer(std::move(head), answer);
 }
 
@@ -509,7 +511,7 @@
 }
 
 void ClientSide::reject(QueryId query, Span comeBackAfter) {
-  http::Gather head;
+  http::GatherBuffer head;
   head.text("HTTP/1.1 503 Service Unavailable\r\n");
   if (comeBackAfter > Span{0}) {
     const std::string millis = std::to_string(comeBackAfter / 1ms % 1000);
@@ -520,7 +522,7 @@
 }
 
 void ClientSide::abort(QueryId query) {
-  http::Gather head;
+  http::GatherBuffer head;
   head.text("HTTP/1.1 502 Bad Gateway\r\n");
   answer(query, std::move(head));
 }
--- a/src/sidecar/client_side.hpp
+++ b/src/sidecar/client_side.hpp
@@ -16,11 +16,11 @@
 #include <string>
 #include <vector>
 
-#include "http/gather.hpp"
+#include "http/gather_buffer.hpp"
 #include "http/message.hpp"
 #include "rackroute/balancer.hpp"
 #include "sidecar/loop.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -29,7 +29,7 @@
 
 class ClientSide {
  public:
-  ClientSide(Loop& loop, Exchange& exchange, const told::Told& told);
+  ClientSide(Loop& loop, Exchange& exchange, const settings::ParsedSettings& told);
   ClientSide(const ClientSide&) = delete;
   ClientSide& operator=(const ClientSide&) = delete;
   ~ClientSide();
@@ -72,7 +72,7 @@
   void listening(bool on);
   /// Who waits for the query's final answer, and now gets it; null: nobody.
   ClientConnection* release(QueryId query);
-  void answer(QueryId query, http::Gather pieces);
+  void answer(QueryId query, http::GatherBuffer pieces);
   [[nodiscard]] bool crowded() const;
   void closeListener();
   void ended(ClientConnection& connection);
@@ -80,7 +80,7 @@
 
   Loop& loop_;
   Exchange& exchange_;
-  const told::Told& told_;
+  const settings::ParsedSettings& told_;
   Poco::Net::ServerSocket listener_;
   std::map<ClientConnection*, std::shared_ptr<ClientConnection>> connections_;
   std::map<QueryId, ClientConnection*> waiting_;
--- a/src/sidecar/connection.cpp
+++ b/src/sidecar/connection.cpp
@@ -59,7 +59,7 @@
   }
 }
 
-void Connection::send(http::Gather pieces) {
+void Connection::send(http::GatherBuffer pieces) {
   out_.append(std::move(pieces));
   if (!dialing_ && !ended_ && !wantsWrite_) write();
 }
--- a/src/sidecar/connection.hpp
+++ b/src/sidecar/connection.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-#include "http/gather.hpp"
+#include "http/gather_buffer.hpp"
 #include "sidecar/loop.hpp"
 
 namespace rackroute::sidecar {
@@ -51,7 +51,7 @@
   /// Registers an accepted socket. Apart from the constructor, as events need a shared owner.
   void open();
   void dial(const Poco::Net::SocketAddress& address);
-  void send(http::Gather pieces);
+  void send(http::GatherBuffer pieces);
   /// Ends it once all is written and the peer has seen it: no reset overtakes the last answer.
   void finish(Reason reason);
   void end(Reason reason);
@@ -104,7 +104,7 @@
   std::string_view side_;
   std::string peer_;
   Poco::Net::StreamSocket socket_;
-  http::Gather out_;
+  http::GatherBuffer out_;
   Loop::TimerId lingering_;
   std::size_t unread_ = 0;  // bytes that came after the last answer
   std::uint64_t bytesIn_ = 0;
--- a/src/sidecar/discovery.cpp
+++ b/src/sidecar/discovery.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using http::Progress;
+using http::ParseStatus;
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
@@ -47,7 +47,8 @@
   throw std::invalid_argument("not an address: '" + text + "'");
 }
 
-Listed readList(const Poco::Dynamic::Var& json, told::Names& zones, const Loop& loop, std::uint64_t& index) {
+Listed readList(const Poco::Dynamic::Var& json, settings::NameTable& zones, const Loop& loop,
+                std::uint64_t& index) {
   const auto object = json.extract<Object::Ptr>();
   Listed listed;
   const auto version = object->getValue<std::uint64_t>("index");
@@ -57,7 +58,7 @@
   for (const auto& entry : *entries) {
     const auto one = entry.extract<Object::Ptr>();
     ListedServer server;
-    server.id = told::serverId(one->getValue<std::string>("name"));
+    server.id = settings::serverId(one->getValue<std::string>("name"));
     server.lifecycle = lifecycle(one->getValue<std::string>("status"));
     server.zone = {zones.id(one->optValue<std::string>("zone", ""))};
     server.cell = {one->optValue<std::int64_t>("group", 0)};
@@ -84,7 +85,7 @@
 
   void ask(const Poco::Net::SocketAddress& address) {
     heard();
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     std::string head = "GET /discovery/hosts";
     if (watch_) head += "?watch=1&after=" + std::to_string(discovery_.index_);
     pieces.text(head + " HTTP/1.1\r\nHost: " + address.toString() +
@@ -117,9 +118,9 @@
     silence_ = loop_.in(kSilence, [this] { end(Reason::silent); });
   }
   void readAnswer() {
-    const Progress progress = reader_.read(in_);
-    if (progress == Progress::more) return;
-    if (progress != Progress::done) return end(Reason::badMessage);
+    const ParseStatus progress = reader_.read(in_);
+    if (progress == ParseStatus::needMore) return;
+    if (progress != ParseStatus::done) return end(Reason::badMessage);
     const http::Message answer = reader_.take(in_);
     if (answer.status() != 200) return end(Reason::refused);
     if (!discovery_.told(std::string(answer.body()), false, false)) return end(Reason::badMessage);
@@ -127,15 +128,15 @@
   }
   void readWatch() {
     if (!open_) {
-      const Progress progress = reader_.readHead(in_);
-      if (progress == Progress::more) return;
-      if (progress != Progress::done) return end(Reason::badMessage);
+      const ParseStatus progress = reader_.readHead(in_);
+      if (progress == ParseStatus::needMore) return;
+      if (progress != ParseStatus::done) return end(Reason::badMessage);
       const http::Message head = reader_.takeHead(in_);
       if (head.status() != 200 || !head.chunked()) return end(Reason::refused);
       open_ = true;
     }
     std::size_t used = 0;
-    const Progress progress = chunks_.read(in_, used, lines_, kLongestList);
+    const ParseStatus progress = chunks_.read(in_, used, lines_, kLongestList);
     in_.erase(0, used);
     for (std::size_t end; (end = lines_.find('\n')) != std::string::npos;) {
       std::string line = lines_.substr(0, end);
@@ -145,14 +146,14 @@
       if (!discovery_.told(line, true, std::exchange(first_, false))) return this->end(Reason::badMessage);
       if (ended()) return;
     }
-    if (progress == Progress::done) return end(Reason::peerClosed);
-    if (progress != Progress::more) end(Reason::badMessage);
+    if (progress == ParseStatus::done) return end(Reason::peerClosed);
+    if (progress != ParseStatus::needMore) end(Reason::badMessage);
   }
 
   Discovery& discovery_;
   bool watch_;
-  http::Reader reader_{http::Reader::Kind::answer, kLongestList};
-  http::Chunks chunks_;
+  http::Reader reader_{http::Reader::Kind::response, kLongestList};
+  http::ChunkDecoder chunks_;
   std::string lines_;
   Loop::TimerId silence_;
   bool open_ = false;
@@ -160,8 +161,8 @@
   bool dropped_ = false;
 };
 
-Discovery::Discovery(Loop& loop, Exchange& exchange, told::Names& zones, Poco::Net::SocketAddress address,
-                     std::uint64_t index)
+Discovery::Discovery(Loop& loop, Exchange& exchange, settings::NameTable& zones,
+                     Poco::Net::SocketAddress address, std::uint64_t index)
     : loop_(loop), exchange_(exchange), zones_(zones), address_(std::move(address)), index_(index) {}
 
 Discovery::~Discovery() = default;
--- a/src/sidecar/discovery.hpp
+++ b/src/sidecar/discovery.hpp
@@ -15,7 +15,7 @@
 
 #include "sidecar/exchange.hpp"
 #include "sidecar/loop.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -25,11 +25,12 @@
 Poco::Net::SocketAddress numericAddress(const std::string& text);
 
 /// A list in discovery's form, which the configuration shares; throws what is wrong with it.
-Listed readList(const Poco::Dynamic::Var& json, told::Names& zones, const Loop& loop, std::uint64_t& index);
+Listed readList(const Poco::Dynamic::Var& json, settings::NameTable& zones, const Loop& loop,
+                std::uint64_t& index);
 
 class Discovery {
  public:
-  Discovery(Loop& loop, Exchange& exchange, told::Names& zones, Poco::Net::SocketAddress address,
+  Discovery(Loop& loop, Exchange& exchange, settings::NameTable& zones, Poco::Net::SocketAddress address,
             std::uint64_t index);
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
@@ -52,7 +53,7 @@
 
   Loop& loop_;
   Exchange& exchange_;
-  told::Names& zones_;
+  settings::NameTable& zones_;
   Poco::Net::SocketAddress address_;
   std::uint64_t index_;
   std::map<std::string, Poco::JSON::Object::Ptr> entries_;  // by name
--- a/src/sidecar/exchange.cpp
+++ b/src/sidecar/exchange.cpp
@@ -14,13 +14,13 @@
 
 }  // namespace
 
-void Exchange::start(const told::Told& told, ClientSide& clients, ServerSide& servers, Discovery& discovery,
-                     const Listed& known) {
+void Exchange::start(const settings::ParsedSettings& told, ClientSide& clients, ServerSide& servers,
+                     Discovery& discovery, const Listed& known) {
   clients_ = &clients;
   servers_ = &servers;
   discovery_ = &discovery;
-  loop_.counters.finals.resize(told.terms.useCases.size());
-  balancer_.emplace(told.terms, *this);
+  loop_.counters.finals.resize(told.config.useCases.size());
+  balancer_.emplace(told.config, *this);
   serversListed(known);
 }
 
--- a/src/sidecar/exchange.hpp
+++ b/src/sidecar/exchange.hpp
@@ -20,7 +20,7 @@
 #include "rackroute/balancer.hpp"
 #include "sidecar/loop.hpp"
 #include "sidecar/server_side.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -43,8 +43,8 @@
   Exchange& operator=(const Exchange&) = delete;
 
   /// Makes the balancer, with the list as it was last known.
-  void start(const told::Told& told, ClientSide& clients, ServerSide& servers, Discovery& discovery,
-             const Listed& known);
+  void start(const settings::ParsedSettings& told, ClientSide& clients, ServerSide& servers,
+             Discovery& discovery, const Listed& known);
 
   void take(const std::shared_ptr<const http::Message>& message, const Query& query);
   /// A query's body as it comes, for one that was taken while it was coming.
