--- a/src/sidecar/fleet_side.cpp
+++ b/src/sidecar/fleet_side.cpp
@@ -85,7 +85,7 @@
   void ask(const Poco::Net::SocketAddress& address) {
     limit();
     dial(address);
-    tell(side_.membership_.question());
+    tell(side_.membership_.viewRequest());
   }
   [[nodiscard]] bool asks() const { return asks_; }
 
@@ -95,15 +95,15 @@
       std::size_t size = 0;
       for (std::size_t i = 0; i < kFrameHead; ++i) size = size << 8U | static_cast<unsigned char>(in_[i]);
       // Guards against a length that nobody means: it would be waited for, and kept.
-      if (size > side_.longestWhole()) return refuse(fleet::Refusal::absurd);
+      if (size > side_.longestWhole()) return refuse(fleet::DecodeError::outOfRange);
       if (in_.size() < kFrameHead + size) return;
-      fleet::Whole theirs;
-      const fleet::Refusal refusal =
+      fleet::ViewMessage theirs;
+      const fleet::DecodeError refusal =
           fleet::decode(side_.told_.fleet, std::string_view(in_).substr(kFrameHead, size), theirs);
       side_.bytesIn_ += kFrameHead + size;
       in_.erase(0, kFrameHead + size);
       ++messages_;
-      if (refusal != fleet::Refusal::none) return refuse(refusal);
+      if (refusal != fleet::DecodeError::none) return refuse(refusal);
       take(theirs);
     }
   }
@@ -116,28 +116,28 @@
   void limit() {
     timer_ = loop_.in(kExchangeTime, [this] { end(Reason::silent); });
   }
-  void refuse(fleet::Refusal refusal) {
+  void refuse(fleet::DecodeError refusal) {
     ++side_.refused_.at(static_cast<std::size_t>(refusal));
     end(Reason::badMessage);
   }
-  void take(const fleet::Whole& theirs) {
+  void take(const fleet::ViewMessage& theirs) {
     fleet::Membership& membership = side_.membership_;
     if (membership.displaced()) return finish(Reason::done);
     const bool same = theirs.digest == membership.digest();
     const bool last = asks_ || heard_;
     if (!asks_ && !heard_ && same) return finish(Reason::done);
     heard_ = true;
-    const fleet::Whole own = membership.whole(loop_.now(), theirs.marks);
+    const fleet::ViewMessage own = membership.viewFor(loop_.now(), theirs.bucketDigests);
     membership.merge(loop_.now(), theirs);
     // All that one can tell who knows nobody stood in its question.
-    if (asks_ ? !own.words.empty() : !last) tell(own);
+    if (asks_ ? !own.updates.empty() : !last) tell(own);
     if (last) finish(Reason::done);
     side_.settled();
   }
-  void tell(const fleet::Whole& whole) {
+  void tell(const fleet::ViewMessage& whole) {
     const std::string bytes = frame(fleet::encode(side_.told_.fleet, whole));
     static_cast<void>(side_.spend(bytes.size(), -1e18));
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.text(bytes);
     send(std::move(pieces));
   }
@@ -160,7 +160,7 @@
 
 void FleetSide::start() {
   open();
-  membership_.begin(loop_.now());
+  membership_.start(loop_.now());
   settled();
 }
 
@@ -170,12 +170,12 @@
     std::istringstream text(object->getValue<std::string>("view"));
     Poco::Base64Decoder decoder(text);
     const std::string bytes{std::istreambuf_iterator<char>(decoder), {}};
-    fleet::Whole view;
-    if (fleet::decode(told_.fleet, bytes, view) != fleet::Refusal::none ||
+    fleet::ViewMessage view;
+    if (fleet::decode(told_.fleet, bytes, view) != fleet::DecodeError::none ||
         view.self.id != membership_.self().id)
       throw std::runtime_error("another member's");
-    membership_.know(loop_.now(), view.words);
-    membership_.goOn(view.self.life);
+    membership_.addKnownMembers(loop_.now(), view.updates);
+    membership_.resumeAs(view.self.version);
   } catch (const Poco::Exception& error) {
     Line(Level::warning) << "no_handover what=\"the fleet's view: " << error.displayText() << '"';
   } catch (const std::exception& error) {
@@ -187,7 +187,7 @@
 std::string FleetSide::state() const {
   std::ostringstream text;
   Poco::Base64Encoder encoder(text);
-  encoder << fleet::encode(told_.fleet, membership_.whole(loop_.now()));
+  encoder << fleet::encode(told_.fleet, membership_.viewFor(loop_.now()));
   encoder.close();
   Object::Ptr object = new Object;
   object->set("view", text.str());
@@ -206,7 +206,7 @@
     again_ = loop_.in(kAgain, [this] { startWhenFree(); });
     return;
   }
-  membership_.begin(loop_.now());
+  membership_.start(loop_.now());
   settled();
 }
 
@@ -280,7 +280,7 @@
 }
 
 void FleetSide::read() {
-  std::array<char, fleet::kLongestDatagram + 1> bytes{};
+  std::array<char, fleet::kMaxDatagramBytes + 1> bytes{};
   for (int i = 0; i < kDatagramsATurn && socket_; ++i) {
     sockaddr_in source{};
     socklen_t length = sizeof source;
@@ -292,10 +292,10 @@
     ++messagesIn_;
     bytesIn_ += static_cast<std::size_t>(size);
     fleet::Message message;
-    const fleet::Refusal refusal =
+    const fleet::DecodeError refusal =
         fleet::decode(told_.fleet, {bytes.data(), static_cast<std::size_t>(size)}, message);
-    if (refusal == fleet::Refusal::none)
-      membership_.heard(loop_.now(), message);
+    if (refusal == fleet::DecodeError::none)
+      membership_.handleMessage(loop_.now(), message);
     else
       ++refused_.at(static_cast<std::size_t>(refusal));
   }
@@ -303,7 +303,7 @@
 }
 
 std::size_t FleetSide::longestWhole() const {
-  return std::min(fleet::kLongestWhole, kWordRoom * (told_.rhythm.most + 1));
+  return std::min(fleet::kMaxViewMessageBytes, kWordRoom * (told_.rhythm.maxMembers + 1));
 }
 
 // The bytes that may be sent, saved up for a second. What tells on what others tell too gives way first.
@@ -324,7 +324,7 @@
 void FleetSide::send(const std::string& address, const fleet::Message& message) {
   if (!socket_) return;
   const std::string bytes = fleet::encode(told_.fleet, message);
-  const bool news = message.kind == fleet::Kind::news;
+  const bool news = message.kind == fleet::MessageKind::gossip;
   if (!spend(bytes.size(), news ? 0 : -static_cast<double>(told_.bytesASecond))) return;
   try {
     const Poco::Net::SocketAddress to = numericAddress(address);
@@ -333,7 +333,7 @@
     static_cast<void>(::sendto(socket_->impl()->sockfd(), bytes.data(), bytes.size(),
                                MSG_DONTWAIT | MSG_NOSIGNAL, to.addr(), to.length()));
   } catch (const std::exception&) {
-    ++refused_.at(static_cast<std::size_t>(fleet::Refusal::absurd));
+    ++refused_.at(static_cast<std::size_t>(fleet::DecodeError::outOfRange));
   }
 }
 
@@ -353,7 +353,7 @@
       if (const auto link = weak.lock(); link && !link->ended()) link->ask(to);
     });
   } catch (const std::exception&) {
-    ++refused_.at(static_cast<std::size_t>(fleet::Refusal::absurd));
+    ++refused_.at(static_cast<std::size_t>(fleet::DecodeError::outOfRange));
   }
 }
 
@@ -391,8 +391,8 @@
         settled();
       });
   }
-  if (const fleet::Hearing now = membership_.hearing(); now != hearing_) {
-    Line(now == fleet::Hearing::whole ? Level::info : Level::warning)
+  if (const fleet::Connectivity now = membership_.connectivity(); now != hearing_) {
+    Line(now == fleet::Connectivity::full ? Level::info : Level::warning)
         << "fleet_hears " << nameOf(now) << " was=" << nameOf(hearing_)
         << " alive=" << membership_.view().count(fleet::State::alive) + 1
         << " size=" << membership_.safeCount();
@@ -403,16 +403,16 @@
   counted_(static_cast<std::uint32_t>(safe_));
 }
 
-void FleetSide::changed(const fleet::Held& member, std::optional<fleet::State> was) {
+void FleetSide::memberChanged(const fleet::MemberRecord& member, std::optional<fleet::State> was) {
   if (changes_.empty()) loop_.in(kGather, [this] { tellChanges(); });
-  changes_.push_back({member.card, member.state, was});
+  changes_.push_back({member.info, member.state, was});
 }
 
 void FleetSide::tellChanges() {
   const auto changes = std::exchange(changes_, {});
   if (changes.size() <= kToldApart) {
     for (const Change& change : changes)
-      Line(Level::info) << "fleet_member name=" << change.card->name << " state=" << nameOf(change.state)
+      Line(Level::info) << "fleet_member name=" << change.info->name << " state=" << nameOf(change.state)
                         << " was=" << (change.was ? nameOf(*change.was) : "unknown");
     return;
   }
@@ -425,7 +425,7 @@
                     << " now_dead=" << view.count(fleet::State::dead);
 }
 
-void FleetSide::nameTaken(bool taken, const std::string& by) {
+void FleetSide::nameConflict(bool taken, const std::string& by) {
   Line(taken ? Level::error : Level::info)
       << (taken ? "fleet_name_taken" : "fleet_name_back") << " name=" << told_.self.name << " by=" << by;
 }
@@ -436,25 +436,25 @@
   Object::Ptr made = new Object(Poco::JSON_PRESERVE_KEY_ORDER);
   made->set("self", told_.self.name);
   made->set("fleet", told_.fleet);
-  made->set("hearing", std::string(nameOf(membership_.hearing())));
+  made->set("hearing", std::string(nameOf(membership_.connectivity())));
   made->set("size", static_cast<std::uint64_t>(membership_.safeCount()));
-  made->set("health", membership_.ill());
+  made->set("health", membership_.localHealth());
   made->set("name_taken", membership_.displaced());
   Poco::JSON::Array::Ptr members = new Poco::JSON::Array;
-  const auto add = [&](const fleet::Word& word, Span since) {
+  const auto add = [&](const fleet::MemberUpdate& word, Span since) {
     Object::Ptr one = new Object(Poco::JSON_PRESERVE_KEY_ORDER);
-    one->set("name", word.card->name);
+    one->set("name", word.info->name);
     one->set("state", std::string(nameOf(word.state)));
-    one->set("zone", word.card->zone);
-    one->set("address", word.card->address);
-    one->set("start", word.life.start);
-    one->set("incarnation", word.life.incarnation);
+    one->set("zone", word.info->zone);
+    one->set("address", word.info->address);
+    one->set("start", word.version.start);
+    one->set("incarnation", word.version.incarnation);
     one->set("since_ms", static_cast<std::int64_t>((now - since) / 1ms));
     members->add(one);
   };
   add(membership_.self(), Span{});
-  for (const fleet::Held& held : view.all())
-    add({held.card, held.id, held.life, held.state, {}, {}}, held.since);
+  for (const fleet::MemberRecord& held : view.all())
+    add({held.info, held.id, held.version, held.state, {}, {}}, held.since);
   made->set("members", members);
   std::ostringstream text;
   made->stringify(text);
@@ -471,7 +471,7 @@
     head(name, type, help);
     out << "edge_lb_fleet_" << name << ' ' << value << '\n';
   };
-  const fleet::Figures& seen = membership_.figures();
+  const fleet::MembershipCounters& seen = membership_.counters();
   head("members", "gauge", "Other members known, by state.");
   for (const auto state :
        {fleet::State::alive, fleet::State::suspect, fleet::State::dead, fleet::State::left})
@@ -479,8 +479,8 @@
         << '\n';
   figure("size", "gauge", "Members that may be running, this one among them.", membership_.safeCount());
   figure("hearing", "gauge", "0 whole, 1 partial, 2 alone.",
-         static_cast<std::uint64_t>(membership_.hearing()));
-  figure("health", "gauge", "Doubt in itself: 0 none, 8 the most.", membership_.ill());
+         static_cast<std::uint64_t>(membership_.connectivity()));
+  figure("health", "gauge", "Doubt in itself: 0 none, 8 the most.", membership_.localHealth());
   figure("probes", "counter", "Probes of other members.", seen.probes);
   figure("probes_lost", "counter", "Probes that nobody answered.", seen.probesLost);
   figure("suspicions_refuted", "counter", "Talk of its own death that it put right.", seen.refuted);
@@ -497,11 +497,11 @@
     out << "edge_lb_fleet_refused{reason=\"" << reason << "\"} " << count << '\n';
   };
   for (std::size_t i = 1; i < refused_.size(); ++i)
-    refused(nameOf(static_cast<fleet::Refusal>(i)), refused_[i]);
+    refused(nameOf(static_cast<fleet::DecodeError>(i)), refused_[i]);
   refused("flood", floods_);
   refused("misdirected", seen.misdirected);
-  refused("full", seen.refusedFull);
-  refused("absurd_word", seen.refusedAbsurd);
+  refused("full", seen.rejectedFull);
+  refused("absurd_word", seen.rejectedInvalid);
 }
 
 }  // namespace rackroute::sidecar
--- a/src/sidecar/fleet_side.hpp
+++ b/src/sidecar/fleet_side.hpp
@@ -31,7 +31,7 @@
 
 class FleetLink;
 
-class FleetSide : public fleet::Surroundings {
+class FleetSide : public fleet::MembershipHost {
  public:
   /// Counted: called with the safe count of members at the start and each time that it changes.
   FleetSide(Loop& loop, FleetTold told, std::uint64_t seed, std::function<void(std::uint32_t)> counted);
@@ -58,8 +58,8 @@
 
   void send(const std::string& address, const fleet::Message& message) override;
   void exchange(const std::string& address) override;
-  void changed(const fleet::Held& member, std::optional<fleet::State> was) override;
-  void nameTaken(bool taken, const std::string& by) override;
+  void memberChanged(const fleet::MemberRecord& member, std::optional<fleet::State> was) override;
+  void nameConflict(bool taken, const std::string& by) override;
 
   void open();
   void close();
@@ -73,7 +73,7 @@
   [[nodiscard]] bool spend(std::size_t bytes, double least);
 
   struct Change {
-    fleet::CardPtr card;
+    fleet::MemberInfoPtr info;
     fleet::State state;
     std::optional<fleet::State> was;
   };
@@ -95,7 +95,7 @@
   double allowance_ = 0;  // bytes
   Span allowedAt_{};
   std::size_t safe_ = 0;
-  fleet::Hearing hearing_ = fleet::Hearing::alone;
+  fleet::Connectivity hearing_ = fleet::Connectivity::isolated;
   bool left_ = false;
   std::uint64_t messagesIn_ = 0;
   std::uint64_t messagesOut_ = 0;
@@ -104,7 +104,7 @@
   std::uint64_t exchanges_ = 0;
   std::uint64_t held_ = 0;    // not sent, over the bytes allowed
   std::uint64_t floods_ = 0;  // dropped unread
-  std::array<std::uint64_t, fleet::kRefusals> refused_{};
+  std::array<std::uint64_t, fleet::kDecodeErrors> refused_{};
 };
 
 }  // namespace rackroute::sidecar
--- a/src/sidecar/fleet_told.cpp
+++ b/src/sidecar/fleet_told.cpp
@@ -66,8 +66,9 @@
 bool FleetTold::operator==(const FleetTold& other) const {
   return fleet == other.fleet && self.name == other.self.name && self.address == other.self.address &&
          self.zone == other.self.zone && listen == other.listen && join == other.join &&
-         rhythm.period == other.rhythm.period && rhythm.suspicion == other.rhythm.suspicion &&
-         rhythm.most == other.rhythm.most && rhythm.keepDead == other.rhythm.keepDead &&
+         rhythm.period == other.rhythm.period &&
+         rhythm.suspicionMultiplier == other.rhythm.suspicionMultiplier &&
+         rhythm.maxMembers == other.rhythm.maxMembers && rhythm.deadRetention == other.rhythm.deadRetention &&
          bytesASecond == other.bytesASecond;
 }
 
@@ -102,9 +103,9 @@
     }
   }
   told.rhythm.period = seconds(number(object, "period_ms", 1000, 100, 60'000) / 1000);
-  told.rhythm.suspicion = number(object, "suspicion", 1, 0.5, 10);
-  told.rhythm.most = static_cast<std::size_t>(number(object, "most_members", 2000, 2, 20'000));
-  told.rhythm.keepDead = seconds(number(object, "keep_dead_s", 86'400, 60, 604'800));
+  told.rhythm.suspicionMultiplier = number(object, "suspicion", 1, 0.5, 10);
+  told.rhythm.maxMembers = static_cast<std::size_t>(number(object, "most_members", 2000, 2, 20'000));
+  told.rhythm.deadRetention = seconds(number(object, "keep_dead_s", 86'400, 60, 604'800));
   told.bytesASecond = static_cast<std::size_t>(number(object, "bytes_a_second", 65'536, 4096, 10'000'000));
   return told;
 }
--- a/src/sidecar/fleet_told.hpp
+++ b/src/sidecar/fleet_told.hpp
@@ -15,10 +15,10 @@
 
 struct FleetTold {
   std::string fleet;              // members of another fleet are not listened to
-  fleet::Card self;               // the member, with the address at which others reach it
+  fleet::MemberInfo self;         // the member, with the address at which others reach it
   std::string listen;             // where it binds, and leaves from
   std::vector<std::string> join;  // whom to ask first
-  fleet::Rhythm rhythm;
+  fleet::MembershipConfig rhythm;
   std::size_t bytesASecond = 0;  // that it sends at most, in the mean
 
   bool operator==(const FleetTold& other) const;
--- a/src/sidecar/handover.cpp
+++ b/src/sidecar/handover.cpp
@@ -24,7 +24,7 @@
 #include <thread>
 #include <utility>
 
-#include "handover/learned.hpp"
+#include "handover/snapshot_text.hpp"
 #include "sidecar/client_side.hpp"
 #include "sidecar/connection.hpp"
 #include "sidecar/discovery.hpp"
@@ -36,7 +36,7 @@
 
 using namespace std::chrono_literals;
 using handover::Moment;
-using handover::Word;
+using handover::ServerOverride;
 using Poco::JSON::Object;
 
 constexpr std::string_view kHello = "rackroute-handover 1";  // the version of all that follows on the channel
@@ -172,7 +172,7 @@
     readNow();
   }
   void say(const std::string& line) {
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.text(line + '\n');
     send(std::move(pieces));
   }
@@ -208,9 +208,9 @@
       return true;
     }
     ServerId server;
-    Word word;
+    ServerOverride word;
     if (line.substr(0, space) != "keep" || number.ptr == rest.data() + rest.size() ||
-        !handover::readLine({number.ptr + 1, rest.data() + rest.size()}, server, word))
+        !handover::parseOverride({number.ptr + 1, rest.data() + rest.size()}, server, word))
       return false;
     handover_.apply(server, word);
     say("kept " + std::to_string(turn));
@@ -284,10 +284,10 @@
   if (std::ifstream file(path_ + ".said"); file) {
     std::ostringstream text;
     text << file.rdbuf();
-    if (const auto read = handover::Said::read(text.str())) {
+    if (const auto read = handover::ServerOverrides::parse(text.str())) {
       for (const auto& [server, word] : read->all()) {
         // One put back lately was away, which this process has not seen.
-        if (!word.out) apply(server, {true, word.at});
+        if (!word.disabled) apply(server, {true, word.at});
         apply(server, word);
       }
     } else {
@@ -382,7 +382,8 @@
 }
 
 void Handover::say(ServerId server, bool out, std::function<void(bool)> said) {
-  const Word word{out, std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now())};
+  const ServerOverride word{out,
+                            std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now())};
   apply(server, word);
   if (!remember()) return said(false);
   if (peers_.empty()) return said(true);
@@ -398,7 +399,7 @@
   const auto peers = peers_;
   for (const auto& [at, peer] : peers) {
     peer->owed.insert(turn);
-    peer->say("keep " + std::to_string(turn) + ' ' + handover::line(server, word));
+    peer->say("keep " + std::to_string(turn) + ' ' + handover::formatOverride(server, word));
   }
 }
 
@@ -411,16 +412,16 @@
   all();
 }
 
-void Handover::apply(ServerId server, Word word) {
-  if (!said_.note(server, word)) Line(Level::warning) << "too many servers out by hand";
+void Handover::apply(ServerId server, ServerOverride word) {
+  if (!said_.record(server, word)) Line(Level::warning) << "too many servers out by hand";
   exchange_->learn(server);
-  if (word.out) return exchange_->takeOut(server);
+  if (word.disabled) return exchange_->takeOut(server);
   exchange_->putBack(server, loop_.sinceStart(word.at));
 }
 
 bool Handover::remember() {
-  said_.forgetBack(std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now()) -
-                   kBackTold);
+  said_.dropEnabledBefore(std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now()) -
+                          kBackTold);
   if (path_.empty()) return true;
   const std::string made = path_ + ".said.new";
   std::ofstream file(made, std::ios::trunc);
@@ -436,7 +437,7 @@
   Poco::JSON::Array::Ptr ever = new Poco::JSON::Array;
   for (const ServerId server : exchange_->everListed()) ever->add(std::to_string(server.value));
   state->set("ever", ever);
-  state->set("learned", handover::text(exchange_->learned()));
+  state->set("learned", handover::formatSnapshot(exchange_->learned()));
   if (fleetState_) state->set("fleet", fleetState_());
   std::ostringstream text;
   state->stringify(text);
--- a/src/sidecar/handover.hpp
+++ b/src/sidecar/handover.hpp
@@ -19,7 +19,7 @@
 #include <string>
 #include <string_view>
 
-#include "handover/said.hpp"
+#include "handover/server_overrides.hpp"
 #include "sidecar/loop.hpp"
 
 namespace rackroute::sidecar {
@@ -69,7 +69,7 @@
   void listen();
   void accept(Poco::Net::ReadableNotification* event);
   bool remember();
-  void apply(ServerId server, handover::Word word);
+  void apply(ServerId server, handover::ServerOverride word);
   void inherit(HandoverPeer& peer);
   void yieldTo(HandoverPeer& peer);
   void ended(HandoverPeer& peer);
@@ -95,7 +95,7 @@
   std::unique_ptr<Poco::Net::ServerSocket> listener_;
   std::map<HandoverPeer*, std::shared_ptr<HandoverPeer>> peers_;
   HandoverPeer* successor_ = nullptr;  // one that said it is ready
-  handover::Said said_;
+  handover::ServerOverrides said_;
   std::map<std::uint64_t, Waiting> waiting_;
   std::uint64_t lastTurn_ = 0;
   bool stopped_ = false;
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -25,7 +25,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "handover/learned.hpp"
+#include "handover/snapshot_text.hpp"
 #include "sidecar/admin_side.hpp"
 #include "sidecar/client_side.hpp"
 #include "sidecar/discovery.hpp"
@@ -37,7 +37,7 @@
 #include "sidecar/loop.hpp"
 #include "sidecar/server_side.hpp"
 #include "sidecar/signals.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 namespace {
@@ -53,7 +53,7 @@
 
 constexpr std::size_t kForFleet = 40;  // descriptors; exchanges at a time, two sockets and a margin
 
-void flatten(const std::string& path, const Var& value, told::Pairs& pairs) {
+void flatten(const std::string& path, const Var& value, settings::KeyValues& pairs) {
   if (value.isEmpty()) return;
   if (value.type() == typeid(Object::Ptr)) {
     for (const auto& [name, inner] : *value.extract<Object::Ptr>())
@@ -80,7 +80,7 @@
   std::string listen;
   Poco::Net::SocketAddress discovery;
   std::uint64_t seed = 0;
-  told::Pairs pairs;
+  settings::KeyValues pairs;
   std::optional<rlim_t> descriptors;
   std::optional<std::uint64_t> megabytes;         // of memory
   std::optional<Poco::Net::SocketAddress> admin;  // the operators' door, where there is one
@@ -105,7 +105,7 @@
   made.discovery = numericAddress(needed(*document, "discovery").convert<std::string>());
   const auto seed = needed(*document, "seed").convert<std::string>();
   const auto read = std::from_chars(seed.data(), seed.data() + seed.size(), made.seed, 16);
-  if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size()) told::malformed("seed", seed);
+  if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size()) settings::throwMalformed("seed", seed);
   flatten("", needed(*document, "settings"), made.pairs);
   if (const auto limits = document->getObject("limits"); limits && limits->has("sockets"))
     made.descriptors = limits->getValue<std::uint32_t>("sockets");
@@ -154,7 +154,7 @@
 void tellAnew(Assignment& told, ClientSide& clients, ServerSide& servers, Discovery& discovery, bool shared) {
   try {
     Assignment anew = readAssignment();
-    const told::Told checked(anew.seed, anew.pairs);
+    const settings::ParsedSettings checked(anew.seed, anew.pairs);
     limitDescriptors(anew, clients, servers, shared);
     discovery.moveTo(anew.discovery);
     std::string waits;
@@ -174,8 +174,8 @@
 }
 
 // Guards against a list in the configuration that is older than what the process before was told.
-void takeOver(const Object& state, Exchange& exchange, told::Names& zones, const Loop& loop, Listed& known,
-              std::uint64_t& index) {
+void takeOver(const Object& state, Exchange& exchange, settings::NameTable& zones, const Loop& loop,
+              Listed& known, std::uint64_t& index) {
   try {
     const auto ever = state.getArray("ever");
     for (const auto& server : *ever) exchange.learn(ServerId{std::stoull(server.convert<std::string>())});
@@ -200,8 +200,8 @@
   // Guards against a reload that comes before the start is over: its default action would end the program.
   signals.on(SIGHUP, [] {});
   Assignment assignment = readAssignment();
-  told::Told told(assignment.seed, assignment.pairs);
-  told.terms.discoveryOnRequest = true;  // here discovery only ever answers
+  settings::ParsedSettings told(assignment.seed, assignment.pairs);
+  told.config.discoveryOnRequest = true;  // here discovery only ever answers
 
   // Another process comes only where operators call this one by a door of its own.
   const char* const folder = std::getenv("TMPDIR");
@@ -225,7 +225,7 @@
   std::optional<FleetSide> fleet;
   if (assignment.fleet) {
     fleet.emplace(loop, *assignment.fleet, assignment.seed,
-                  [&](std::uint32_t members) { exchange.fleetOf(std::max(members, told.terms.balancers)); });
+                  [&](std::uint32_t members) { exchange.fleetOf(std::max(members, told.config.balancers)); });
     admin.show(*fleet);
     change.handOn([&] { return fleet->state(); }, [&](bool yes) { fleet->yield(yes); });
   }
@@ -249,7 +249,7 @@
             : clients.listen(numericAddress(assignment.listen), assignment.admin.has_value());
   exchange.start(told, clients, servers, discovery, known);
   if (inherited) {
-    if (const auto learned = handover::readLearned(inherited->state->optValue<std::string>("learned", "")))
+    if (const auto learned = handover::parseSnapshot(inherited->state->optValue<std::string>("learned", "")))
       exchange.learn(*learned);
   }
   // Guards against an old process that hangs, or has just gone on, and has the fleet's address: it must not
--- a/src/sidecar/server_side.cpp
+++ b/src/sidecar/server_side.cpp
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 using http::Message;
-using http::Progress;
+using http::ParseStatus;
 
 constexpr std::size_t kHeldWhole = 64 * 1024;  // bytes; longer answers are passed on as they come
 constexpr Span kStalled = 10s;  // without a byte of an answer that has begun; five times what is owed
@@ -32,7 +32,7 @@
   if (!report) return Span{0};
   try {
     const auto object = Poco::JSON::Parser().parse(std::string(*report)).extract<Poco::JSON::Object::Ptr>();
-    const std::string name(told::kServiceTime);
+    const std::string name(settings::kServiceTimeField);
     if (!object->has(name)) return Span{0};
     const double millis = object->getValue<double>(name);
     return millis > 0 && millis < 1e6 ? Span{static_cast<Span::rep>(millis * 1000)} : Span{0};
@@ -88,9 +88,9 @@
   /// True: enough waits to be written.
   bool bodyPart(std::string data, bool last) {
     if (!execution_ || !coming_) return false;
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     if (query_->chunked() && !data.empty()) {
-      pieces.text(http::chunkHead(data.size()));
+      pieces.text(http::chunkHeader(data.size()));
       pieces.text(std::move(data));
       pieces.text("\r\n");
     } else {
@@ -126,17 +126,17 @@
   void received() override {
     while (execution_ && !ended()) {
       if (!answer_) {
-        const Progress progress = reader_.readHead(in_);
-        if (progress == Progress::more) return;
-        if (progress != Progress::done) return end(Reason::badMessage);
+        const ParseStatus progress = reader_.readHead(in_);
+        if (progress == ParseStatus::needMore) return;
+        if (progress != ParseStatus::done) return end(Reason::badMessage);
         auto head = std::make_shared<Message>(reader_.takeHead(in_));
         if (head->status() < 200) continue;  // the answer proper follows
-        body_ = http::Body(*head, http::Reader::Kind::answer, http::kLongestStreamed);
+        body_ = http::BodyReader(*head, http::Reader::Kind::response, http::kMaxStreamedBodyBytes);
         answer_ = std::move(head);
       }
-      const Progress progress = body_.read(in_, held_);
-      if (progress != Progress::more && progress != Progress::done) return end(Reason::badMessage);
-      if (progress == Progress::done) return whole(false);
+      const ParseStatus progress = body_.read(in_, held_);
+      if (progress != ParseStatus::needMore && progress != ParseStatus::done) return end(Reason::badMessage);
+      if (progress == ParseStatus::done) return whole(false);
       if (!streams_) {
         // Over the bound, or sure to be: passed on from the first byte.
         if (std::max(held_.size(), answer_->length().value_or(0)) <= kHeldWhole || held_.empty()) return;
@@ -189,12 +189,12 @@
     auto answer = std::exchange(answer_, nullptr);
     const bool streams = std::exchange(streams_, false);
     const bool known = knownStatus(answer->status());
-    const bool reusable = !closed && known && answer->keepsOpen() && in_.empty() && allWritten() && !coming_;
+    const bool reusable = !closed && known && answer->keepsAlive() && in_.empty() && allWritten() && !coming_;
     const ExecutionKey execution = take();
     if (streams) {
       if (!held_.empty()) side_.exchange_.answerPart(execution, std::exchange(held_, {}));
     } else {
-      answer->giveBody(std::exchange(held_, {}));
+      answer->setBody(std::exchange(held_, {}));
     }
     if (reusable) {
       rest();
@@ -206,13 +206,13 @@
   void sendQuery() {
     sent_ = true;
     relayed_ = false;
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.keep(query_);
-    pieces.view(query_->word(0));
+    pieces.view(query_->startLinePart(0));
     pieces.text(" ");
-    pieces.view(query_->word(1));
+    pieces.view(query_->startLinePart(1));
     pieces.text(" HTTP/1.1\r\n");
-    for (const std::string_view lines : query_->endToEnd("X-Deadline-Ms")) pieces.view(lines);
+    for (const std::string_view lines : query_->endToEndFields("X-Deadline-Ms")) pieces.view(lines);
     const Span left = deadline_ > Span{0} ? deadline_ - loop_.now() : timeout_;
     std::string rest = "X-Deadline-Ms: " + std::to_string(std::max<Span::rep>(left / 1ms, 1)) + "\r\n";
     const std::string_view body = query_->body();
@@ -220,7 +220,7 @@
     if (apart) {
       rest += query_->chunked() ? "Transfer-Encoding: chunked\r\n"
                                 : "Content-Length: " + std::to_string(query_->length().value_or(0)) + "\r\n";
-    } else if (!body.empty() || query_->word(0) != "GET") {
+    } else if (!body.empty() || query_->startLinePart(0) != "GET") {
       rest += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     }
     pieces.text(rest + "\r\n");
@@ -251,13 +251,13 @@
   ServerId server_;
   Poco::Net::SocketAddress address_;
   // Guards against losing good answers to a bound: they may be longer than queries.
-  http::Reader reader_{http::Reader::Kind::answer, http::kLongestStreamed};
+  http::Reader reader_{http::Reader::Kind::response, http::kMaxStreamedBodyBytes};
   std::shared_ptr<Message> answer_;  // its head; the body is still coming
-  http::Body body_;
-  std::string held_;      // of the body
-  http::Gather first_;    // of the query's body, before its head was written
-  bool streams_ = false;  // the answer is passed on as it comes
-  bool coming_ = false;   // the query's body is
+  http::BodyReader body_;
+  std::string held_;          // of the body
+  http::GatherBuffer first_;  // of the query's body, before its head was written
+  bool streams_ = false;      // the answer is passed on as it comes
+  bool coming_ = false;       // the query's body is
   Span timeout_{};
   std::optional<ExecutionKey> execution_;
   std::shared_ptr<const Message> query_;
@@ -269,7 +269,7 @@
   bool relayed_ = false;  // its last
 };
 
-ServerSide::ServerSide(Loop& loop, Exchange& exchange, const told::Told& told)
+ServerSide::ServerSide(Loop& loop, Exchange& exchange, const settings::ParsedSettings& told)
     : loop_(loop),
       exchange_(exchange),
       dialTimeout_(told.dialTimeout),
--- a/src/sidecar/server_side.hpp
+++ b/src/sidecar/server_side.hpp
@@ -18,7 +18,7 @@
 #include "http/message.hpp"
 #include "rackroute/balancer.hpp"
 #include "sidecar/loop.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -34,7 +34,7 @@
 
 class ServerSide {
  public:
-  ServerSide(Loop& loop, Exchange& exchange, const told::Told& told);
+  ServerSide(Loop& loop, Exchange& exchange, const settings::ParsedSettings& told);
   ServerSide(const ServerSide&) = delete;
   ServerSide& operator=(const ServerSide&) = delete;
   ~ServerSide();
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -15,7 +15,7 @@
       ++number;
       if (session.read(line)) std::cout << session.takeReply() << std::flush;
     }
-    if (!session.betweenBatches()) throw rackroute::simwire::Malformed("the input ends inside a batch");
+    if (!session.betweenBatches()) throw rackroute::simwire::MalformedValue("the input ends inside a batch");
   } catch (const std::exception& error) {
     std::cerr << "line " << number << ": " << error.what() << '\n';
     return 1;
--- a/src/simwire/session.cpp
+++ b/src/simwire/session.cpp
@@ -5,13 +5,13 @@
 #include <unordered_map>
 #include <utility>
 
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::simwire {
 namespace {
 
-using told::malformed;
-using told::micros;
+using settings::microsFromMillis;
+using settings::throwMalformed;
 
 constexpr std::size_t kLists = 16;
 
@@ -19,12 +19,12 @@
 Number number(std::string_view text, std::string_view what) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size()) malformed(what, text);
+  if (error != std::errc{} || end != text.data() + text.size()) throwMalformed(what, text);
   return value;
 }
 
 bool flag(std::string_view text, std::string_view what) {
-  if (text != "0" && text != "1") malformed(what, text);
+  if (text != "0" && text != "1") throwMalformed(what, text);
   return text == "1";
 }
 
@@ -46,11 +46,11 @@
   out += std::to_string(size / 1000) + '.' + std::string(3 - fraction.size(), '0') + fraction;
 }
 
-told::Pairs pairs(const std::vector<std::string_view>& parts, std::size_t from) {
-  told::Pairs made;
+settings::KeyValues pairs(const std::vector<std::string_view>& parts, std::size_t from) {
+  settings::KeyValues made;
   for (std::size_t i = from; i < parts.size(); ++i) {
     const std::size_t at = parts[i].find('=');
-    if (at == std::string_view::npos) malformed("a setting without a value", parts[i]);
+    if (at == std::string_view::npos) throwMalformed("a setting without a value", parts[i]);
     made.insert_or_assign(std::string(parts[i].substr(0, at)), std::string(parts[i].substr(at + 1)));
   }
   return made;
@@ -62,7 +62,7 @@
   for (const auto& [name, value] : words) {
     if (name == text) return value;
   }
-  malformed(what, text);
+  throwMalformed(what, text);
 }
 
 // A time in a load report, whose pairs stand as name:value with commas between; 0 if it is not there.
@@ -70,8 +70,8 @@
   while (!report.empty() && report != "-") {
     const std::string_view pair = report.substr(0, report.find(','));
     const std::size_t colon = pair.find(':');
-    if (colon == std::string_view::npos) malformed("load", pair);
-    if (pair.substr(0, colon) == name) return Span{micros(pair.substr(colon + 1), name)};
+    if (colon == std::string_view::npos) throwMalformed("load", pair);
+    if (pair.substr(0, colon) == name) return Span{microsFromMillis(pair.substr(colon + 1), name)};
     report.remove_prefix(std::min(report.size(), pair.size() + 1));
   }
   return Span{0};
@@ -94,10 +94,10 @@
 /// One balancer and its end of the wire.
 class Instance : public Host {
  public:
-  Instance(std::string_view name, std::uint64_t seed, const told::Pairs& pairs, std::int64_t clock,
+  Instance(std::string_view name, std::uint64_t seed, const settings::KeyValues& pairs, std::int64_t clock,
            std::string& reply)
       : number_(name), start_(clock), reply_(reply), told_(seed, pairs) {
-    balancer_ = std::make_unique<Balancer>(told_.terms, *this);
+    balancer_ = std::make_unique<Balancer>(told_.config, *this);
   }
 
   void execute(QueryId query, ServerId server, Span timeout) override {
@@ -143,7 +143,7 @@
   Balancer& balancer() { return *balancer_; }
   ZoneId zone(std::string_view name) { return {told_.zones.id(name)}; }
   ServerId server(const std::string& name) {
-    const ServerId id = told::serverId(name);
+    const ServerId id = settings::serverId(name);
     servers_.emplace(id.value, name);
     return id;
   }
@@ -151,17 +151,17 @@
   void take(const std::vector<std::string_view>& parts, Span at) {
     Query query;
     query.id = {number<std::uint32_t>(parts[2], "op_id")};
-    query.timeLeft = Span{micros(parts[3], "expires_in_ms")};
-    query.useCase = {told_.useCases.known(parts[4], "profile")};
+    query.timeLeft = Span{microsFromMillis(parts[3], "expires_in_ms")};
+    query.useCase = {told_.useCases.idOf(parts[4], "profile")};
     if (parts[5] != "-" && !parts[5].empty()) {
       std::uint64_t key{};
       const auto end = std::from_chars(parts[5].data(), parts[5].data() + parts[5].size(), key, 16);
       if (end.ec != std::errc{} || end.ptr != parts[5].data() + parts[5].size())
-        malformed("path_key", parts[5]);
+        throwMalformed("path_key", parts[5]);
       query.key = KeyId{key};
     }
     if (!told_.accounts.empty() && parts[6] != "-" && parts[6] != "0")
-      query.account = {told_.accounts.known(parts[6], "user_group")};
+      query.account = {told_.accounts.idOf(parts[6], "user_group")};
     queries_.insert_or_assign(query.id.value, balancer_->take(at, query));
     settle();
   }
@@ -169,7 +169,7 @@
     const ExecutionNo no{number<std::uint32_t>(parts[3], "send_no")};
     const Outcome how = outcome(parts[5]);
     const bool terminal = flag(parts[7], "terminal");
-    const Span service = reported(parts[8], told::kServiceTime);
+    const Span service = reported(parts[8], settings::kServiceTimeField);
     with(parts[2], [&](QueryHandle& query) { query.executionEnded(at, no, how, terminal, service); });
   }
   void begun(const std::vector<std::string_view>& parts, Span at) {
@@ -212,7 +212,7 @@
   std::string number_;
   std::int64_t start_;
   std::string& reply_;
-  told::Told told_;
+  settings::ParsedSettings told_;
   std::unordered_map<std::uint64_t, std::string> servers_;
   std::unordered_map<std::uint32_t, QueryHandle> queries_;
   std::vector<QueryId> answered_;
@@ -232,14 +232,14 @@
   split(line, '\t', parts_);
   const std::string_view name = parts_.front();
   if (name == "BEGIN_BATCH") {
-    if (inBatch_ || parts_.size() < 2) malformed("a batch begins badly", line);
-    clock_ = micros(parts_[1], "clock");
+    if (inBatch_ || parts_.size() < 2) throwMalformed("a batch begins badly", line);
+    clock_ = microsFromMillis(parts_[1], "clock");
     inBatch_ = true;
     return false;
   }
-  if (!inBatch_) malformed("an event outside a batch", name);
+  if (!inBatch_) throwMalformed("an event outside a batch", name);
   if (entriesDue_ > 0) {
-    if (name != "SERVER") malformed("a list entry is missing before", name);
+    if (name != "SERVER") throwMalformed("a list entry is missing before", name);
     entry(parts_);
     return false;
   }
@@ -259,8 +259,8 @@
       {"TIMEOUT_FIRED", 3}};
   const std::string_view name = parts.front();
   const auto known = fields.find(name);
-  if (known == fields.end()) malformed("unknown message", name);
-  if (parts.size() < known->second) malformed("a field is missing", name);
+  if (known == fields.end()) throwMalformed("unknown message", name);
+  if (parts.size() < known->second) throwMalformed("a field is missing", name);
   if (name == "START") return start(parts);
   if (name == "DEFINE_LIST") return defineList(parts);
   if (name == "RETIRE") {
@@ -288,7 +288,7 @@
         parts[2], "scope",
         {{"Partial", Listing::changes}, {"Complete", Listing::complete}, {"Persisted", Listing::persisted}});
     const auto slot = number<std::size_t>(parts[4], "slot");
-    if (slot >= kLists) malformed("slot", parts[4]);
+    if (slot >= kLists) throwMalformed("slot", parts[4]);
     std::vector<ListedServer> servers;
     for (const Entry& listed : lists_[slot]) {
       ListedServer server;
@@ -313,20 +313,20 @@
 
 void Session::defineList(const std::vector<std::string_view>& parts) {
   slot_ = number<std::size_t>(parts[1], "slot");
-  if (slot_ >= kLists) malformed("slot", parts[1]);
+  if (slot_ >= kLists) throwMalformed("slot", parts[1]);
   lists_[slot_].clear();
   entriesDue_ = number<std::size_t>(parts[2], "number of entries");
 }
 
 void Session::entry(const std::vector<std::string_view>& parts) {
-  if (parts.size() < 8) malformed("a list entry lacks fields", parts.front());
+  if (parts.size() < 8) throwMalformed("a list entry lacks fields", parts.front());
   Entry made;
   made.lifecycle = word<Lifecycle>(
       parts[2], "lifecycle",
       {{"SERVING", Lifecycle::serving}, {"DRAINING", Lifecycle::draining}, {"DELETED", Lifecycle::gone}});
   made.zone = parts[3];
   made.size = parts[4] == "-" ? 1.0 : number<double>(parts[4], "share");
-  made.since = parts[5] == "-" ? 0 : micros(parts[5], "since_ms");
+  made.since = parts[5] == "-" ? 0 : microsFromMillis(parts[5], "since_ms");
   made.cell = parts[6] == "-" ? 0 : number<std::int64_t>(parts[6], "cell");
   made.name = parts[7];
   lists_[slot_].push_back(std::move(made));
--- a/src/simwire/session.hpp
+++ b/src/simwire/session.hpp
@@ -8,11 +8,11 @@
 #include <vector>
 
 #include "rackroute/balancer.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::simwire {
 
-using told::Malformed;
+using settings::MalformedValue;
 
 class Instance;
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// The fleet's view: words and which of them holds, the bytes on the wire, and one member among others played
-// by hand.
+// Fleet membership: convergence of views, the wire format, and the protocol of one member against simulated
+// peers.
 
 #include <algorithm>
 #include <array>
@@ -20,44 +20,48 @@
 
 constexpr std::uint64_t kStart = 1'700'000'000'000;
 
-std::string named(std::size_t number) { return std::string("m").append(std::to_string(number)); }
-
-Word word(const std::string& name, State state = State::alive, Life life = {kStart, 0}) {
-  Word made;
-  made.card =
-      std::make_shared<const Card>(Card{name, std::string("127.0.9.1:").append(name.substr(1)), "z0"});
-  made.id = memberId(name);
-  made.life = life;
-  made.state = state;
-  return made;
+std::string memberName(std::size_t number) { return std::string("m").append(std::to_string(number)); }
+
+MemberUpdate makeUpdate(const std::string& name, State state = State::alive,
+                        MemberVersion version = {kStart, 0}) {
+  MemberUpdate update;
+  update.info = std::make_shared<const MemberInfo>(
+      MemberInfo{name, std::string("127.0.9.1:").append(name.substr(1)), "z0"});
+  update.id = memberId(name);
+  update.version = version;
+  update.state = state;
+  return update;
 }
 
-Message message(Kind kind, const std::string& from, std::vector<Word> words = {}) {
-  Message made;
-  made.kind = kind;
-  made.self = word(from);
-  made.words = std::move(words);
-  return made;
+Message message(MessageKind kind, const std::string& from, std::vector<MemberUpdate> updates = {}) {
+  Message result;
+  result.kind = kind;
+  result.self = makeUpdate(from);
+  result.updates = std::move(updates);
+  return result;
 }
 
-/// One member; the others are played by hand, and answer its probes while they are told to.
-class Alone : public Surroundings {
+/// A member under test. Its peers are simulated and answer its probes unless they are unresponsive.
+class TestMember : public MembershipHost {
  public:
-  explicit Alone(std::vector<std::string> others, Rhythm rhythm = {}, std::uint64_t start = kStart)
-      : member({"m100", "127.0.9.1:100", "z0"}, start, {}, rhythm, 7, *this) {
-    std::vector<Word> words;
-    for (const std::string& name : others) words.push_back(word(name));
-    member.know(now, words);
-    member.begin(now);
+  explicit TestMember(std::vector<std::string> others, MembershipConfig config = {},
+                      std::uint64_t start = kStart)
+      : member({"m100", "127.0.9.1:100", "z0"}, start, {}, config, 7, *this) {
+    std::vector<MemberUpdate> updates;
+    for (const std::string& name : others) updates.push_back(makeUpdate(name));
+    member.addKnownMembers(now, updates);
+    member.start(now);
   }
   void send(const std::string& address, const Message& message) override {
     sent.emplace_back(address, message);
   }
   void exchange(const std::string& address) override { exchanges.push_back(address); }
-  void changed(const Held& held, std::optional<State>) override { states[held.card->name] = held.state; }
-  void nameTaken(bool yes, const std::string&) override { taken = yes; }
+  void memberChanged(const MemberRecord& record, std::optional<State>) override {
+    states[record.info->name] = record.state;
+  }
+  void nameConflict(bool yes, const std::string&) override { hasNameConflict = yes; }
 
-  void pass(Span length) {
+  void advance(Span length) {
     for (const Span until = now + length; member.due() <= until;) {
       now = member.due();
       member.wake(now);
@@ -65,20 +69,21 @@
     }
     now += 1ms;
   }
-  /// The others answer what was sent to them, all but those that are silent.
+  /// Answers the messages sent since the last call on behalf of the responsive peers.
   void answer() {
     for (const auto& [address, message] : std::exchange(sent, {})) {
-      if ((message.kind != Kind::ping && message.kind != Kind::ask) || silent || address.ends_with(dead))
+      if ((message.kind != MessageKind::ping && message.kind != MessageKind::pingRequest) || allSilent ||
+          address.ends_with(unresponsive))
         continue;
-      // Those that are asked to try the one that does not answer reach it no better.
-      Message ack = ::message(message.kind == Kind::ping ? Kind::ack : Kind::nack,
-                              named(std::stoul(address.substr(address.rfind(':') + 1))));
-      ack.number = message.number;
-      ack.about = message.about;
-      for (const Word& said : message.words)  // it speaks up
-        if (said.id == ack.self.id) lives[said.id.value] = said.life.incarnation + 1;
-      ack.self.life.incarnation = lives[ack.self.id.value];
-      member.heard(now, ack);
+      // Relays of indirect probes don't reach the unresponsive peer either.
+      Message ack = ::message(message.kind == MessageKind::ping ? MessageKind::ack : MessageKind::nack,
+                              memberName(std::stoul(address.substr(address.rfind(':') + 1))));
+      ack.probeNumber = message.probeNumber;
+      ack.subject = message.subject;
+      for (const MemberUpdate& update : message.updates)  // refutes
+        if (update.id == ack.self.id) incarnations[update.id.value] = update.version.incarnation + 1;
+      ack.self.version.incarnation = incarnations[ack.self.id.value];
+      member.handleMessage(now, ack);
     }
   }
   State state(const std::string& name) { return member.view().find(memberId(name))->state; }
@@ -87,305 +92,314 @@
   std::vector<std::pair<std::string, Message>> sent;
   std::vector<std::string> exchanges;
   std::map<std::string, State> states;
-  bool silent = false;
-  std::string dead = "none";  // how the address of one ends that does not answer
-  bool taken = false;
-  std::map<std::uint64_t, std::uint32_t> lives;  // incarnations of the others
+  bool allSilent = false;
+  std::string unresponsive = "none";  // suffix of the address of an unresponsive peer
+  bool hasNameConflict = false;
+  std::map<std::uint64_t, std::uint32_t> incarnations;  // of the peers, by id
   Membership member;
 };
 
 }  // namespace
 
-TEST_CASE("words lead to the same view in any order, doubled or not") {
-  std::mt19937 chance(3);
-  std::vector<Word> words;
+TEST_CASE("views converge whatever the order and duplication of updates") {
+  std::mt19937 random(3);
+  std::vector<MemberUpdate> updates;
   for (int i = 0; i < 400; ++i)
-    words.push_back(word(named(chance() % 12), static_cast<State>(chance() % 4),
-                         {kStart + chance() % 3, static_cast<std::uint32_t>(chance() % 4)}));
-  const auto viewOf = [&](const std::vector<Word>& told) {
+    updates.push_back(makeUpdate(memberName(random() % 12), static_cast<State>(random() % 4),
+                                 {kStart + random() % 3, static_cast<std::uint32_t>(random() % 4)}));
+  const auto viewOf = [&](const std::vector<MemberUpdate>& applied) {
     View view(100, 1h, 1h);
-    for (const Word& one : told) view.take({}, one);
-    std::vector<std::tuple<MemberId, Life, State>> all;
-    for (const Held& held : view.all()) all.emplace_back(held.id, held.life, held.state);
+    for (const MemberUpdate& one : applied) view.apply({}, one);
+    std::vector<std::tuple<MemberId, MemberVersion, State>> all;
+    for (const MemberRecord& record : view.all()) all.emplace_back(record.id, record.version, record.state);
     return std::pair(all, view.digest());
   };
-  const auto first = viewOf(words);
+  const auto first = viewOf(updates);
   for (int round = 0; round < 50; ++round) {
-    words.push_back(words[chance() % words.size()]);
-    std::shuffle(words.begin(), words.end(), chance);
-    CHECK(viewOf(words) == first);
+    updates.push_back(updates[random() % updates.size()]);
+    std::shuffle(updates.begin(), updates.end(), random);
+    CHECK(viewOf(updates) == first);
   }
 }
 
-TEST_CASE("the safe count rises at once and falls by a leave, but by a death only long after") {
+TEST_CASE(
+    "the safe count rises immediately and falls on a leave, but on a death only after the retention time") {
   View view(10, 1h, 10min);
-  for (const char* name : {"m1", "m2", "m3"}) view.take({}, word(name));
-  CHECK(view.safe() == 3);
-  view.take(1s, word("m1", State::dead));
-  view.take(1s, word("m2", State::left));
-  CHECK(view.safe() == 2);
-  view.forget(30min, true);
-  CHECK(view.safe() == 2);
-  view.forget(2h, false);  // alone: it may be a cut
-  CHECK(view.safe() == 2);
-  view.forget(2h, true);
-  CHECK(view.safe() == 1);
-  Word old = word("m1", State::dead);
-  old.age = 2h;  // others still tell of it
-  CHECK(view.take(2h, old) == View::Taken::nothing);
+  for (const char* name : {"m1", "m2", "m3"}) view.apply({}, makeUpdate(name));
+  CHECK(view.possiblyRunning() == 3);
+  view.apply(1s, makeUpdate("m1", State::dead));
+  view.apply(1s, makeUpdate("m2", State::left));
+  CHECK(view.possiblyRunning() == 2);
+  view.removeExpired(30min, true);
+  CHECK(view.possiblyRunning() == 2);
+  view.removeExpired(2h, false);  // isolated: may be a partition
+  CHECK(view.possiblyRunning() == 2);
+  view.removeExpired(2h, true);
+  CHECK(view.possiblyRunning() == 1);
+  MemberUpdate old = makeUpdate("m1", State::dead);
+  old.age = 2h;  // still gossiped by others
+  CHECK(view.apply(2h, old) == View::ApplyResult::ignored);
 }
 
-TEST_CASE("a view has room for so many members, and one that left makes room") {
+TEST_CASE("a view is limited in size, and a member that left can be evicted") {
   View view(2, 1h, 1h);
-  view.take({}, word("m1"));
-  view.take({}, word("m2"));
-  CHECK(view.take({}, word("m3")) == View::Taken::full);
-  view.take({}, word("m1", State::left));
-  CHECK(view.take({}, word("m3")) == View::Taken::fresh);
+  view.apply({}, makeUpdate("m1"));
+  view.apply({}, makeUpdate("m2"));
+  CHECK(view.apply({}, makeUpdate("m3")) == View::ApplyResult::full);
+  view.apply({}, makeUpdate("m1", State::left));
+  CHECK(view.apply({}, makeUpdate("m3")) == View::ApplyResult::added);
   CHECK(view.find(memberId("m1")) == nullptr);
 }
 
-TEST_CASE("a message comes out of its bytes as it went in, and a later version's fields are passed over") {
-  Message told = message(Kind::ask, "m1", {word("m2", State::suspect, {kStart, 7}), word("m3", State::dead)});
-  told.number = 42;
-  told.about = memberId("m9");
-  told.words[0].from = memberId("m4");
-  told.words[1].age = 5s;
-  std::string body = encode("austin", told).substr(kSeal);
-  body[0] = static_cast<char>(body[0] + 1);  // one field more
-  const std::string bytes = sealed(body + "\x63\x93\x01\xa1x\x80");
+TEST_CASE("messages round-trip through the wire format, and unknown fields of later versions are skipped") {
+  Message sent = message(MessageKind::pingRequest, "m1",
+                         {makeUpdate("m2", State::suspect, {kStart, 7}), makeUpdate("m3", State::dead)});
+  sent.probeNumber = 42;
+  sent.subject = memberId("m9");
+  sent.updates[0].accuser = memberId("m4");
+  sent.updates[1].age = 5s;
+  std::string body = encode("austin", sent).substr(kChecksumBytes);
+  body[0] = static_cast<char>(body[0] + 1);  // one more field
+  const std::string bytes = withChecksum(body + "\x63\x93\x01\xa1x\x80");
   Message read;
-  REQUIRE(decode("austin", bytes, read) == Refusal::none);
-  CHECK((read.kind == Kind::ask && read.number == 42 && read.about == told.about));
-  REQUIRE(read.words.size() == 2);
-  CHECK((read.words[0].life == told.words[0].life && read.words[0].from == told.words[0].from));
-  CHECK((read.words[1].age == 5s && read.words[1].card->name == "m3"));
-  CHECK(decode("houston", bytes, read) == Refusal::otherFleet);
+  REQUIRE(decode("austin", bytes, read) == DecodeError::none);
+  CHECK((read.kind == MessageKind::pingRequest && read.probeNumber == 42 && read.subject == sent.subject));
+  REQUIRE(read.updates.size() == 2);
+  CHECK((read.updates[0].version == sent.updates[0].version &&
+         read.updates[0].accuser == sent.updates[0].accuser));
+  CHECK((read.updates[1].age == 5s && read.updates[1].info->name == "m3"));
+  CHECK(decode("houston", bytes, read) == DecodeError::wrongFleet);
 }
 
-TEST_CASE("a datagram never grows over its bound, however much there is to tell") {
-  Message told = message(Kind::news, "m1", std::vector<Word>(500, word(std::string(45, 'm'))));
-  const std::string bytes = encode("austin", told);
-  CHECK(bytes.size() <= kLongestDatagram);
+TEST_CASE("a datagram never exceeds its maximum size, however many updates it is given") {
+  Message sent =
+      message(MessageKind::gossip, "m1", std::vector<MemberUpdate>(500, makeUpdate(std::string(45, 'm'))));
+  const std::string bytes = encode("austin", sent);
+  CHECK(bytes.size() <= kMaxDatagramBytes);
   Message read;
-  REQUIRE(decode("austin", bytes, read) == Refusal::none);
-  CHECK(read.words.size() > 5);
+  REQUIRE(decode("austin", bytes, read) == DecodeError::none);
+  CHECK(read.updates.size() > 5);
 }
 
-TEST_CASE("garbage, absurd lengths and cut messages are refused with their reason") {
+TEST_CASE("malformed, oversized and truncated messages are rejected with the right error") {
   Message read;
-  CHECK(decode("austin", "", read) == Refusal::garbled);
-  CHECK(decode("austin", std::string(1300, 'x'), read) == Refusal::absurd);
-  CHECK(decode("austin", sealed({"\xdf\xff\xff\xff\xff", 5}), read) ==
-        Refusal::absurd);  // a map of 4 billion
-  CHECK(decode("austin", sealed({"\x81\x00\x05", 3}), read) == Refusal::version);
-  Message large = message(Kind::news, "m1");
-  large.self = word(std::string(200, 'm'));
-  CHECK(decode("austin", encode("austin", large), read) == Refusal::absurd);
-  large.self = word("m\n1");
-  CHECK(decode("austin", encode("austin", large), read) == Refusal::absurd);
-  const std::string whole = encode("austin", message(Kind::ping, "m1", {word("m2")}));
-  for (std::size_t size = 0; size < whole.size(); ++size)
-    CHECK(decode("austin", sealed(std::string_view(whole).substr(kSeal, size)), read) !=
-          (size + kSeal < whole.size() ? Refusal::none : Refusal::garbled));
-  // One bit that was changed on the way is seen, also where the rest would read well: another name, a later
-  // start.
-  for (std::size_t bit = 0; bit < 8 * whole.size(); ++bit) {
-    std::string spoilt = whole;
-    spoilt[bit / 8] = static_cast<char>(spoilt[bit / 8] ^ (1 << bit % 8));
-    CHECK(decode("austin", spoilt, read) == Refusal::garbled);
+  CHECK(decode("austin", "", read) == DecodeError::corrupt);
+  CHECK(decode("austin", std::string(1300, 'x'), read) == DecodeError::outOfRange);
+  CHECK(decode("austin", withChecksum({"\xdf\xff\xff\xff\xff", 5}), read) ==
+        DecodeError::outOfRange);  // a map of 4 billion
+  CHECK(decode("austin", withChecksum({"\x81\x00\x05", 3}), read) == DecodeError::unsupportedVersion);
+  Message large = message(MessageKind::gossip, "m1");
+  large.self = makeUpdate(std::string(200, 'm'));
+  CHECK(decode("austin", encode("austin", large), read) == DecodeError::outOfRange);
+  large.self = makeUpdate("m\n1");
+  CHECK(decode("austin", encode("austin", large), read) == DecodeError::outOfRange);
+  const std::string encoded = encode("austin", message(MessageKind::ping, "m1", {makeUpdate("m2")}));
+  for (std::size_t size = 0; size < encoded.size(); ++size)
+    CHECK(decode("austin", withChecksum(std::string_view(encoded).substr(kChecksumBytes, size)), read) !=
+          (size + kChecksumBytes < encoded.size() ? DecodeError::none : DecodeError::corrupt));
+  // The checksum detects every single-bit error, even where the bytes would still decode.
+  for (std::size_t bit = 0; bit < 8 * encoded.size(); ++bit) {
+    std::string corrupted = encoded;
+    corrupted[bit / 8] = static_cast<char>(corrupted[bit / 8] ^ (1 << bit % 8));
+    CHECK(decode("austin", corrupted, read) == DecodeError::corrupt);
   }
 }
 
-TEST_CASE("spoilt bytes are never taken for more than they are, and nothing they say breaks a member") {
-  std::mt19937 chance(11);
-  Alone here({"m1", "m2", "m3"});
-  std::uint64_t taken = 0;
+TEST_CASE("corrupted messages with valid checksums never break a member or its limits") {
+  std::mt19937 random(11);
+  TestMember local({"m1", "m2", "m3"});
+  std::uint64_t accepted = 0;
   for (int round = 0; round < 20'000; ++round) {
     std::string bytes =
-        encode("austin", message(static_cast<Kind>(chance() % 5), named(chance() % 9),
-                                 {word("m100", static_cast<State>(chance() % 4)), word("m2")}));
-    bytes.erase(0, kSeal);
-    for (unsigned i = chance() % 4; i > 0; --i) bytes[chance() % bytes.size()] = static_cast<char>(chance());
-    if (chance() % 8 == 0) bytes.resize(chance() % bytes.size());
+        encode("austin", message(static_cast<MessageKind>(random() % 5), memberName(random() % 9),
+                                 {makeUpdate("m100", static_cast<State>(random() % 4)), makeUpdate("m2")}));
+    bytes.erase(0, kChecksumBytes);
+    for (unsigned i = random() % 4; i > 0; --i) bytes[random() % bytes.size()] = static_cast<char>(random());
+    if (random() % 8 == 0) bytes.resize(random() % bytes.size());
     Message read;
-    if (decode("austin", sealed(bytes), read) != Refusal::none) continue;
-    ++taken;
-    here.now += 1ms;
-    here.member.heard(here.now, read);
-    here.sent.clear();
-    if (here.member.due() <= here.now) here.member.wake(here.now);
+    if (decode("austin", withChecksum(bytes), read) != DecodeError::none) continue;
+    ++accepted;
+    local.now += 1ms;
+    local.member.handleMessage(local.now, read);
+    local.sent.clear();
+    if (local.member.due() <= local.now) local.member.wake(local.now);
   }
-  CHECK(taken > 1000);
-  CHECK(here.member.view().all().size() <= Rhythm{}.most);
-  CHECK(here.member.self().state == State::alive);
+  CHECK(accepted > 1000);
+  CHECK(local.member.view().all().size() <= MembershipConfig{}.maxMembers);
+  CHECK(local.member.self().state == State::alive);
 }
 
-TEST_CASE("talk of its own death ends with a higher incarnation, and at the last one with a new start") {
-  Alone here({"m1"});
-  here.member.heard(here.now, message(Kind::news, "m1", {word("m100", State::suspect)}));
-  CHECK(here.member.self().life == Life{kStart, 1});
-  here.member.heard(here.now, message(Kind::news, "m1", {word("m100", State::dead, {kStart, 0x7ffffffe})}));
-  CHECK(here.member.self().life == Life{kStart + 1, 0});
-  here.member.heard(here.now,
-                    message(Kind::news, "m1", {word("m100", State::dead, {kStart + 1, UINT32_MAX})}));
-  CHECK(here.member.self().life == Life{kStart + 1, 0});  // such a one can't be
-  CHECK(here.member.figures().refusedAbsurd == 1);
+TEST_CASE("a member refutes its death with a higher incarnation, and at the maximum with a later start") {
+  TestMember local({"m1"});
+  local.member.handleMessage(local.now,
+                             message(MessageKind::gossip, "m1", {makeUpdate("m100", State::suspect)}));
+  CHECK(local.member.self().version == MemberVersion{kStart, 1});
+  local.member.handleMessage(
+      local.now, message(MessageKind::gossip, "m1", {makeUpdate("m100", State::dead, {kStart, 0x7ffffffe})}));
+  CHECK(local.member.self().version == MemberVersion{kStart + 1, 0});
+  local.member.handleMessage(local.now, message(MessageKind::gossip, "m1",
+                                                {makeUpdate("m100", State::dead, {kStart + 1, UINT32_MAX})}));
+  CHECK(local.member.self().version == MemberVersion{kStart + 1, 0});  // beyond the maximum incarnation
+  CHECK(local.member.counters().rejectedInvalid == 1);
 }
 
-TEST_CASE("one that starts anew with its clock set back is the later start all the same") {
-  Alone here({"m1"}, {}, kStart - 3'600'000);
-  here.member.heard(here.now, message(Kind::news, "m1", {word("m100", State::dead)}));
-  CHECK(here.member.self().life.start > kStart);
+TEST_CASE("a member that restarts with its clock set back still ranks above its previous start") {
+  TestMember local({"m1"}, {}, kStart - 3'600'000);
+  local.member.handleMessage(local.now,
+                             message(MessageKind::gossip, "m1", {makeUpdate("m100", State::dead)}));
+  CHECK(local.member.self().version.start > kStart);
 }
 
-TEST_CASE("old words do not raise the dead, nor bury one that has spoken up") {
-  Alone here({"m1", "m2"});
-  here.member.heard(here.now, message(Kind::news, "m1", {word("m2", State::dead)}));
-  here.member.heard(here.now, message(Kind::ping, "m2"));  // a message that was long under way
-  CHECK(here.state("m2") == State::dead);
-  here.member.heard(here.now, message(Kind::news, "m1", {word("m2", State::alive, {kStart, 1})}));
-  here.member.heard(here.now, message(Kind::news, "m1", {word("m2", State::dead)}));
-  CHECK(here.state("m2") == State::alive);
+TEST_CASE("stale updates neither revive a dead member nor override a refutation") {
+  TestMember local({"m1", "m2"});
+  local.member.handleMessage(local.now, message(MessageKind::gossip, "m1", {makeUpdate("m2", State::dead)}));
+  local.member.handleMessage(local.now, message(MessageKind::ping, "m2"));  // a delayed message
+  CHECK(local.state("m2") == State::dead);
+  local.member.handleMessage(
+      local.now, message(MessageKind::gossip, "m1", {makeUpdate("m2", State::alive, {kStart, 1})}));
+  local.member.handleMessage(local.now, message(MessageKind::gossip, "m1", {makeUpdate("m2", State::dead)}));
+  CHECK(local.state("m2") == State::alive);
 }
 
-TEST_CASE("one that is killed is suspected, then dead; while its death may be a cut the count keeps it") {
-  Alone here({"m1", "m2", "m3", "m4", "m5"});
-  here.dead = ":3";
-  here.pass(30s);
-  CHECK(here.state("m3") == State::dead);
-  CHECK((here.state("m1") == State::alive && here.member.safeCount() == 6));
-  CHECK(here.member.hearing() == Hearing::whole);
+TEST_CASE("a killed member becomes suspect, then dead, and stays in the safe count") {
+  TestMember local({"m1", "m2", "m3", "m4", "m5"});
+  local.unresponsive = ":3";
+  local.advance(30s);
+  CHECK(local.state("m3") == State::dead);
+  CHECK((local.state("m1") == State::alive && local.member.safeCount() == 6));
+  CHECK(local.member.connectivity() == Connectivity::full);
 }
 
-TEST_CASE("one whom nobody answers doubts itself: it buries nobody, says it is alone, and keeps its count") {
-  Alone here({"m1", "m2", "m3", "m4", "m5"});
-  here.silent = true;
-  here.pass(120s);
-  CHECK(here.member.view().count(State::dead) == 0);
-  CHECK(here.member.hearing() == Hearing::alone);
-  CHECK(here.member.safeCount() == 6);
-  here.silent = false;
-  here.pass(60s);
-  CHECK(here.member.view().count(State::dead) == 0);
-  Rhythm plain;
-  plain.lifeguard = false;  // plain SWIM buries them all
-  Alone other({"m1", "m2", "m3", "m4", "m5"}, plain);
-  other.silent = true;
-  other.pass(120s);
+TEST_CASE("a member without any replies reports isolation, declares nobody dead and keeps its safe count") {
+  TestMember local({"m1", "m2", "m3", "m4", "m5"});
+  local.allSilent = true;
+  local.advance(120s);
+  CHECK(local.member.view().count(State::dead) == 0);
+  CHECK(local.member.connectivity() == Connectivity::isolated);
+  CHECK(local.member.safeCount() == 6);
+  local.allSilent = false;
+  local.advance(60s);
+  CHECK(local.member.view().count(State::dead) == 0);
+  MembershipConfig plain;
+  plain.lifeguard = false;  // plain SWIM declares all of them dead
+  TestMember other({"m1", "m2", "m3", "m4", "m5"}, plain);
+  other.allSilent = true;
+  other.advance(120s);
   CHECK(other.member.view().count(State::dead) == 5);
 }
 
-TEST_CASE("one that was frozen doubts itself first, not the others whom it did not hear") {
-  Alone here({"m1", "m2", "m3", "m4", "m5"});
-  here.pass(20s);
-  CHECK(here.member.hearing() == Hearing::whole);
-  here.member.heard(here.now, message(Kind::news, "m1", {word("m2", State::suspect)}));
-  here.now += 20s;
-  here.member.wake(here.now);
-  CHECK(here.state("m2") == State::suspect);  // its time did not run while this one stood still
-  CHECK(here.member.hearing() == Hearing::partial);
-  CHECK(here.member.figures().stalls == 1);
+TEST_CASE("a member that was suspended reports partial connectivity instead of declaring others dead") {
+  TestMember local({"m1", "m2", "m3", "m4", "m5"});
+  local.advance(20s);
+  CHECK(local.member.connectivity() == Connectivity::full);
+  local.member.handleMessage(local.now,
+                             message(MessageKind::gossip, "m1", {makeUpdate("m2", State::suspect)}));
+  local.now += 20s;
+  local.member.wake(local.now);
+  CHECK(local.state("m2") == State::suspect);  // the suspicion was extended by the stall
+  CHECK(local.member.connectivity() == Connectivity::partial);
+  CHECK(local.member.counters().stalls == 1);
 }
 
 TEST_CASE(
-    "of two processes with one name the later start has it, and the other gets it back when that one is "
-    "gone") {
-  Alone here({"m1"});
-  Message rival = message(Kind::ping, "m100");
-  rival.self.card = std::make_shared<const Card>(Card{"m100", "127.0.9.2:100", "z0"});
-  rival.self.life.start = kStart - 5;
-  here.member.heard(here.now, rival);
-  CHECK_FALSE(here.member.displaced());
-  REQUIRE(here.sent.size() == 1);  // it is told of this one's later start
-  CHECK(here.sent.front().first == "127.0.9.2:100");
-  rival.self.life.start = kStart + 5;
-  here.member.heard(here.now, rival);
-  CHECK((here.member.displaced() && here.taken && here.member.safeCount() == 2));
-  here.sent.clear();
-  here.member.heard(here.now, message(Kind::ping, "m1"));
-  CHECK(here.sent.empty());  // it is quiet
-  here.pass(20s);
-  CHECK((!here.member.displaced() && !here.taken));
-  CHECK(here.member.self().life.start > kStart + 5);
+    "of two processes with one name the later start keeps it, and the other gets it back when that one "
+    "ends") {
+  TestMember local({"m1"});
+  Message conflicting = message(MessageKind::ping, "m100");
+  conflicting.self.info = std::make_shared<const MemberInfo>(MemberInfo{"m100", "127.0.9.2:100", "z0"});
+  conflicting.self.version.start = kStart - 5;
+  local.member.handleMessage(local.now, conflicting);
+  CHECK_FALSE(local.member.displaced());
+  REQUIRE(local.sent.size() == 1);  // it is notified of the later start
+  CHECK(local.sent.front().first == "127.0.9.2:100");
+  conflicting.self.version.start = kStart + 5;
+  local.member.handleMessage(local.now, conflicting);
+  CHECK((local.member.displaced() && local.hasNameConflict && local.member.safeCount() == 2));
+  local.sent.clear();
+  local.member.handleMessage(local.now, message(MessageKind::ping, "m1"));
+  CHECK(local.sent.empty());  // a displaced member doesn't answer
+  local.advance(20s);
+  CHECK((!local.member.displaced() && !local.hasNameConflict));
+  CHECK(local.member.self().version.start > kStart + 5);
 }
 
-TEST_CASE("an exchange's deaths are only suspicions, and who is accused is told") {
-  Alone here({"m1", "m2"});
-  Whole theirs{word("m1"), 1, {word("m2", State::dead)}, {}};
-  here.member.merge(here.now, theirs);
-  CHECK(here.state("m2") == State::suspect);
-  here.now = here.member.due();
-  here.member.wake(here.now);
-  const auto told = std::ranges::any_of(here.sent, [](const auto& one) {
-    return one.first == "127.0.9.1:2" && !one.second.words.empty() &&
-           one.second.words[0].id == memberId("m2");
+TEST_CASE("a death learned by exchange is only a suspicion, and the accused is notified") {
+  TestMember local({"m1", "m2"});
+  ViewMessage theirs{makeUpdate("m1"), 1, {makeUpdate("m2", State::dead)}, {}};
+  local.member.merge(local.now, theirs);
+  CHECK(local.state("m2") == State::suspect);
+  local.now = local.member.due();
+  local.member.wake(local.now);
+  const auto notified = std::ranges::any_of(local.sent, [](const auto& one) {
+    return one.first == "127.0.9.1:2" && !one.second.updates.empty() &&
+           one.second.updates[0].id == memberId("m2");
   });
-  CHECK(told);
+  CHECK(notified);
 }
 
-TEST_CASE("of two large views that exchange only the parts that differ are told") {
+TEST_CASE("an exchange of large views transfers only the buckets that differ") {
   std::vector<std::string> names;
-  for (std::size_t i = 0; i < 400; ++i) names.push_back(named(1000 + i));
-  Alone one(names);
+  for (std::size_t i = 0; i < 400; ++i) names.push_back(memberName(1000 + i));
+  TestMember one(names);
   names.push_back("m7");
-  Alone other(names);
-  const Whole asked = one.member.question();
-  const Whole told = other.member.whole(other.now, asked.marks);
-  CHECK((told.words.size() > 0 && told.words.size() < 30));
-  Whole arrived;
-  CHECK(decode("f", encode("f", told), arrived) == Refusal::none);
-  CHECK(arrived.marks == told.marks);
-  one.member.merge(one.now, arrived);
+  TestMember other(names);
+  const ViewMessage request = one.member.viewRequest();
+  const ViewMessage sent = other.member.viewFor(other.now, request.bucketDigests);
+  CHECK((sent.updates.size() > 0 && sent.updates.size() < 30));
+  ViewMessage received;
+  CHECK(decode("f", encode("f", sent), received) == DecodeError::none);
+  CHECK(received.bucketDigests == sent.bucketDigests);
+  one.member.merge(one.now, received);
   CHECK(one.member.digest() == other.member.digest());
-  // One that asks without marks, of an earlier version or new, is told all.
-  CHECK(other.member.whole(other.now).words.size() == 401);
-  CHECK(Alone({"m1"}).member.question().marks.empty());
-  Whole absurd = told;
-  absurd.marks.push_back(1);
-  CHECK(decode("f", encode("f", absurd), arrived) == Refusal::absurd);
+  // A request without digests, from an earlier version or a new member, gets the entire view.
+  CHECK(other.member.viewFor(other.now).updates.size() == 401);
+  CHECK(TestMember({"m1"}).member.viewRequest().bucketDigests.empty());
+  ViewMessage invalid = sent;
+  invalid.bucketDigests.push_back(1);
+  CHECK(decode("f", encode("f", invalid), received) == DecodeError::outOfRange);
 }
 
-TEST_CASE("every second probe goes to the next living member by id") {
-  Alone here({"m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8"});
-  const auto& all = here.member.view().all();
-  const auto next = std::ranges::upper_bound(all, memberId("m100"), {}, &Held::id);
-  const std::string neighbour = (next == all.end() ? all.front() : *next).card->address;
-  int met = 0;
-  int missed = 0;  // in a row
+TEST_CASE("every second probe goes to the next live member by id") {
+  TestMember local({"m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8"});
+  const auto& all = local.member.view().all();
+  const auto next = std::ranges::upper_bound(all, memberId("m100"), {}, &MemberRecord::id);
+  const std::string nextMember = (next == all.end() ? all.front() : *next).info->address;
+  int probes = 0;
+  int misses = 0;  // consecutive
   for (int period = 0; period < 40; ++period) {
-    here.now = here.member.due();
-    here.member.wake(here.now);
-    const bool probed = std::ranges::any_of(
-        here.sent, [&](const auto& one) { return one.first == neighbour && one.second.kind == Kind::ping; });
+    local.now = local.member.due();
+    local.member.wake(local.now);
+    const bool probed = std::ranges::any_of(local.sent, [&](const auto& one) {
+      return one.first == nextMember && one.second.kind == MessageKind::ping;
+    });
     const bool any =
-        std::ranges::any_of(here.sent, [](const auto& one) { return one.second.kind == Kind::ping; });
-    here.answer();
+        std::ranges::any_of(local.sent, [](const auto& one) { return one.second.kind == MessageKind::ping; });
+    local.answer();
     if (!any) continue;
-    met += probed ? 1 : 0;
-    missed = probed ? 0 : missed + 1;
-    CHECK(missed <= 1);
+    probes += probed ? 1 : 0;
+    misses = probed ? 0 : misses + 1;
+    CHECK(misses <= 1);
   }
-  CHECK(met > 10);
+  CHECK(probes > 10);
 }
 
-TEST_CASE("one that missed an answer to its suspicion asks what it missed before it buries anyone") {
-  Alone here({"m1", "m2", "m3", "m4"});
-  here.pass(3s);
-  here.dead = ":1";
-  while (here.state("m1") == State::alive) here.pass(1s);
-  here.silent = true;  // m1 speaks up now, and this one does not hear it
-  here.pass(20s);
-  CHECK(here.state("m1") == State::suspect);
-  here.silent = false;
-  here.exchanges.clear();
-  while (here.exchanges.empty()) here.pass(1s);
-  CHECK(here.state("m1") == State::suspect);
-  here.pass(30s);
-  CHECK(here.state("m1") == State::dead);  // it is, if nobody says otherwise
+TEST_CASE("a member that missed replies exchanges views before it declares anyone dead") {
+  TestMember local({"m1", "m2", "m3", "m4"});
+  local.advance(3s);
+  local.unresponsive = ":1";
+  while (local.state("m1") == State::alive) local.advance(1s);
+  local.allSilent = true;  // m1 refutes now, but the refutation is lost
+  local.advance(20s);
+  CHECK(local.state("m1") == State::suspect);
+  local.allSilent = false;
+  local.exchanges.clear();
+  while (local.exchanges.empty()) local.advance(1s);
+  CHECK(local.state("m1") == State::suspect);
+  local.advance(30s);
+  CHECK(local.state("m1") == State::dead);  // unless it is refuted
 }
 
-TEST_CASE("halves that buried each other become one again without a hand, in virtual time") {
+TEST_CASE("partitioned halves that declared each other dead merge again, in virtual time") {
   const char* const text = R"(
 name = "halves"
 length_s = 90
@@ -403,26 +417,26 @@
   const lab::Json run = lab::playDrillVirtual(drill, 5);
   CHECK(run["kept"] == true);
   CHECK(run["figures"]["deaths_told"] > 0);
-  CHECK(lab::playDrillVirtual(drill, 5).dump() == run.dump());  // the same events, the same view
-  // The judge sees what is wrong: without the last 30 s of it, the halves are still apart.
-  lab::Drill apart = drill;
-  apart.faults[0].length = 0s;
-  apart.promised.hearing = "whole";
-  CHECK(lab::playDrillVirtual(apart, 5)["kept"] == false);
+  CHECK(lab::playDrillVirtual(drill, 5).dump() == run.dump());  // deterministic
+  // A cut that lasts to the end of the run must fail the drill.
+  lab::Drill cutUntilEnd = drill;
+  cutUntilEnd.faults[0].length = 0s;
+  cutUntilEnd.promised.hearing = "whole";
+  CHECK(lab::playDrillVirtual(cutUntilEnd, 5)["kept"] == false);
 }
 
-TEST_CASE("a drill's file is read with care") {
+TEST_CASE("errors in a drill file name the key") {
   const auto read = [](const std::string& text) { return lab::readDrillText(text, "file"); };
   CHECK_THROWS_WITH(read("name = \"x\"\n[[fault]]\nkind = \"cut\"\nwho = \"halves\""),
                     Catch::Contains("fault.0.who"));
   CHECK_THROWS_WITH(read("name = \"x\"\n[fleet]\nmember = 3"), Catch::Contains("members meant"));
 }
 
-TEST_CASE("a cold server's budget over both halves of a cut fleet does not exceed the rule's") {
-  // Sixteen balancers that were told of four at their start. The safe count names all sixteen on either side
-  // of a cut; the count of those heard would name eight.
+TEST_CASE("the load on a cold server from both halves of a partitioned fleet stays within the limit") {
+  // Sixteen balancers configured as four. On either side of a partition the safe count is sixteen, while only
+  // eight are reachable.
   constexpr std::uint32_t kMembers = 16;
-  const auto play = [&](std::uint32_t counted, bool cold) {
+  const auto countSent = [&](std::uint32_t counted, bool cold) {
     std::size_t sent = 0;
     for (std::uint32_t i = 0; i < kMembers; ++i) {
       Terms terms = story::terms();
@@ -448,10 +462,10 @@
     return static_cast<double>(sent);
   };
   const Terms terms = story::terms();
-  const double warm = kMembers * 50.0 / 10;  // answers a second of one warm server, from all balancers
-  const double rule = terms.coldShare * terms.tipMultiple * warm * 3;
-  const double given = play(kMembers, true);
-  CHECK((given > 0 && given <= rule));
-  // What all begin at once on servers that nobody knows goes by the count, and must not go by who is heard.
-  CHECK(play(kMembers, false) < play(kMembers / 2, false));
+  const double warm = kMembers * 50.0 / 10;  // responses per second of one warm server, from all balancers
+  const double limit = terms.coldShare * terms.tipMultiple * warm * 3;
+  const double given = countSent(kMembers, true);
+  CHECK((given > 0 && given <= limit));
+  // The initial load on unknown servers must be derived from the safe count, not the reachable members.
+  CHECK(countSent(kMembers, false) < countSent(kMembers / 2, false));
 }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,10 +1,11 @@
-// A new version under load: two processes are one sidecar, whatever becomes of either.
+// Handover between two processes of one sidecar, including crashes and hangs of either, and the text formats
+// of the state that is handed over.
 
 #include <Poco/Net/DatagramSocket.h>
 #include <sys/stat.h>
 
-#include "handover/learned.hpp"
-#include "handover/said.hpp"
+#include "handover/server_overrides.hpp"
+#include "handover/snapshot_text.hpp"
 #include "program.hpp"
 #include "story.hpp"
 
@@ -13,13 +14,13 @@
 
 namespace {
 
-/// A process beside the first, with the same addresses but for its door.
-class Version {
+/// A process of the sidecar under test: shares its addresses, but has its own admin address.
+class SidecarProcess {
  public:
-  SocketAddress door = unusedAddress();
+  SocketAddress adminAddress = unusedAddress();
 
-  explicit Version(Sidecar& sidecar, const std::string& folder, const std::string& name = "n0") {
-    process_.also = {{"LB_ADMIN", door.toString()}, {"TMPDIR", folder}};
+  explicit SidecarProcess(Sidecar& sidecar, const std::string& folder, const std::string& name = "n0") {
+    process_.also = {{"LB_ADMIN", adminAddress.toString()}, {"TMPDIR", folder}};
     process_.launch(R"({"name":")" + name + sidecar.form().substr(11));
     for (int tries = 0; tries < 1000 && !ready(); ++tries) std::this_thread::sleep_for(10ms);
     if (ready()) return;
@@ -30,26 +31,26 @@
   bool ready() { return has(call("GET /ops/readiness"), " 200 "); }
   std::string call(const std::string& line) {
     try {
-      Peer peer{StreamSocket(door)};
+      Peer peer{StreamSocket(adminAddress)};
       peer.say(line + " HTTP/1.1\r\nHost: door\r\n\r\n");
       return peer.message();
     } catch (const Poco::Net::NetException&) {
       return {};
     }
   }
-  int end(int number) {
+  int terminate(int number) {
     process_.signal(number);
     return process_.ended();
   }
-  void stop(int number) { process_.signal(number); }
+  void signal(int number) { process_.signal(number); }
   std::string log() { return process_.log(); }
 
  private:
   Sidecar process_{0};
 };
 
-/// Sends one query and has it answered; what the client was told.
-std::string serve(Sidecar& sidecar, Peer& client, std::size_t* which = nullptr) {
+/// Sends one request, answers it as the server, and returns the client's response.
+std::string completeRequest(Sidecar& sidecar, Peer& client, std::size_t* which = nullptr) {
   client.say(query("read"));
   Peer server = sidecar.server(which);
   server.message();
@@ -57,105 +58,106 @@
   return client.message();
 }
 
-struct Folder {
+struct TemporaryFolder {
   Poco::TemporaryFile file;
-  Folder() { file.createDirectory(); }
+  TemporaryFolder() { file.createDirectory(); }
   [[nodiscard]] std::string path() const { return file.path(); }
 };
 
 }  // namespace
 
 TEST_CASE(
-    "a new process takes over: connections move with their answers, servers stay out, none is refused") {
-  Folder folder;
+    "a new process takes over: connections move after their responses, servers stay disabled, none is "
+    "refused") {
+  TemporaryFolder folder;
   Sidecar sidecar;
-  Version before(sidecar, folder.path());
+  SidecarProcess before(sidecar, folder.path());
   Peer client = sidecar.connect();
-  CHECK_FALSE(has(serve(sidecar, client), "Connection: close"));
+  CHECK_FALSE(has(completeRequest(sidecar, client), "Connection: close"));
   CHECK(has(before.call("POST /ops/servers/down/s-0"), " 200 "));
 
-  Version after(sidecar, folder.path());
-  CHECK(has(serve(sidecar, client), "Connection: close"));  // the old process had this one
+  SidecarProcess after(sidecar, folder.path());
+  CHECK(has(completeRequest(sidecar, client), "Connection: close"));  // accepted by the old process
   CHECK(client.ends());
   CHECK(before.ready());
   CHECK(has(after.call("GET /ops/stats"), "edge_lb_out_of_rotation 1\n"));
-  CHECK(has(before.call("POST /ops/servers/up/s-0"), " 200 "));  // at either door, for both
+  CHECK(has(before.call("POST /ops/servers/up/s-0"), " 200 "));  // at either process, for both
   CHECK(has(after.call("GET /ops/stats"), "edge_lb_out_of_rotation 0\n"));
   CHECK(has(after.call("POST /ops/servers/down/s-1"), " 200 "));
   CHECK(has(before.call("GET /ops/stats"), "edge_lb_out_of_rotation 1\n"));
 
-  Peer waiting = sidecar.connect();  // the new process has this one
-  CHECK(before.end(SIGTERM) == 0);
+  Peer waiting = sidecar.connect();  // accepted by the new process
+  CHECK(before.terminate(SIGTERM) == 0);
   std::size_t which = 9;
-  CHECK_FALSE(has(serve(sidecar, waiting, &which), "Connection: close"));
+  CHECK_FALSE(has(completeRequest(sidecar, waiting, &which), "Connection: close"));
   CHECK(which == 0);
 
-  Version third(sidecar, folder.path());  // and once more, right after
-  CHECK(after.end(SIGTERM) == 0);
+  SidecarProcess third(sidecar, folder.path());  // a second handover right after the first
+  CHECK(after.terminate(SIGTERM) == 0);
   CHECK(has(third.call("GET /ops/stats"), "edge_lb_out_of_rotation 1\n"));
   Peer last = sidecar.connect();
-  CHECK(has(serve(sidecar, last), "done"));
+  CHECK(has(completeRequest(sidecar, last), "done"));
 }
 
-TEST_CASE("a new process that dies leaves the old one serving, and a later one takes over from it") {
-  Folder folder;
+TEST_CASE("a new process that is killed leaves the old one serving, and a later one takes over from it") {
+  TemporaryFolder folder;
   Sidecar sidecar;
-  Version before(sidecar, folder.path());
+  SidecarProcess before(sidecar, folder.path());
   {
-    Version dies(sidecar, folder.path());
-    dies.end(SIGKILL);
+    SidecarProcess killed(sidecar, folder.path());
+    killed.terminate(SIGKILL);
   }
   Peer client = sidecar.connect();
-  CHECK_FALSE(has(serve(sidecar, client), "Connection: close"));
-  Version after(sidecar, folder.path());
-  CHECK(has(serve(sidecar, client), "Connection: close"));
-  CHECK(before.end(SIGTERM) == 0);
+  CHECK_FALSE(has(completeRequest(sidecar, client), "Connection: close"));
+  SidecarProcess after(sidecar, folder.path());
+  CHECK(has(completeRequest(sidecar, client), "Connection: close"));
+  CHECK(before.terminate(SIGTERM) == 0);
 }
 
-TEST_CASE("a new process that starts in the moment in which another has died takes over from the old one") {
-  Folder folder;
+TEST_CASE("a new process that starts just after another was killed takes over from the old one") {
+  TemporaryFolder folder;
   Sidecar sidecar;
   sidecar.more = R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + unusedAddress().toString() + "\"}";
-  Version before(sidecar, folder.path());
-  const auto startOf = [](Version& version) {
-    const std::string told = version.call("GET /ops/fleet");
-    return told.substr(told.find("\"start\":"), 21);
+  SidecarProcess before(sidecar, folder.path());
+  const auto startOfMember = [](SidecarProcess& process) {
+    const std::string reply = process.call("GET /ops/fleet");
+    return reply.substr(reply.find("\"start\":"), 21);
   };
-  const std::string start = startOf(before);
+  const std::string start = startOfMember(before);
   Peer client = sidecar.connect();
-  CHECK_FALSE(has(serve(sidecar, client), "Connection: close"));
-  Version dies(sidecar, folder.path());
-  before.stop(SIGSTOP);  // it does not notice at once
-  dies.end(SIGKILL);
-  std::jthread goesOn([&] {
+  CHECK_FALSE(has(completeRequest(sidecar, client), "Connection: close"));
+  SidecarProcess killed(sidecar, folder.path());
+  before.signal(SIGSTOP);  // delays its reaction to the kill
+  killed.terminate(SIGKILL);
+  std::jthread resume([&] {
     std::this_thread::sleep_for(80ms);
-    before.stop(SIGCONT);
+    before.signal(SIGCONT);
   });
-  Version after(sidecar, folder.path());
-  CHECK(startOf(after) == start);
-  CHECK(has(serve(sidecar, client), "Connection: close"));
-  CHECK(before.end(SIGTERM) == 0);
+  SidecarProcess after(sidecar, folder.path());
+  CHECK(startOfMember(after) == start);
+  CHECK(has(completeRequest(sidecar, client), "Connection: close"));
+  CHECK(before.terminate(SIGTERM) == 0);
 }
 
 TEST_CASE(
-    "a member of a fleet starts beside an old process that hangs, and takes its place once it is gone") {
-  Folder folder;
+    "a fleet member starts beside an old process that hangs, and takes its place once that one has ended") {
+  TemporaryFolder folder;
   Sidecar sidecar;
   sidecar.more = R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + unusedAddress().toString() + "\"}";
-  Version before(sidecar, folder.path());
-  before.stop(SIGSTOP);
-  Version after(sidecar, folder.path());
-  before.end(SIGKILL);
+  SidecarProcess before(sidecar, folder.path());
+  before.signal(SIGSTOP);
+  SidecarProcess after(sidecar, folder.path());
+  before.terminate(SIGKILL);
   const auto isMember = [&] { return has(after.call("GET /ops/stats"), "edge_lb_fleet_size 1\n"); };
   for (int tries = 0; tries < 500 && !isMember(); ++tries) std::this_thread::sleep_for(20ms);
   CHECK(isMember());
-  CHECK(after.end(SIGTERM) == 0);
+  CHECK(after.terminate(SIGTERM) == 0);
 }
 
 TEST_CASE(
-    "a new version's two processes are one member of the fleet, and one that dies gives its place back") {
-  Folder folder;
-  Folder elsewhere;
+    "two processes of a sidecar are one fleet member, and a killed one returns the membership to the other") {
+  TemporaryFolder folder;
+  TemporaryFolder elsewhere;
   const auto free = [] { return unusedAddress().toString(); };
   const std::string first = free();
   const std::string second = free();
@@ -164,41 +166,41 @@
       R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + second + R"(","join":[")" + first + "\"]}";
   Sidecar sidecar;
   sidecar.more = R"(,"fleet":{"name":"f","period_ms":100,"listen":")" + first + "\"}";
-  Version before(sidecar, folder.path());
-  Version neighbour(other, elsewhere.path(), "n1");
+  SidecarProcess before(sidecar, folder.path());
+  SidecarProcess peer(other, elsewhere.path(), "n1");
   const auto seen = [&](const std::string& part) {
     for (int tries = 0; tries < 500; ++tries) {
-      if (has(neighbour.call("GET /ops/fleet"), part)) return true;
+      if (has(peer.call("GET /ops/fleet"), part)) return true;
       std::this_thread::sleep_for(20ms);
     }
     return false;
   };
   const std::string alive = R"("name":"n0","state":"alive")";
   REQUIRE(seen(alive));
-  const auto startOf = [&](Version& version) {
-    const std::string told = version.call("GET /ops/fleet");
-    return told.substr(told.find("\"start\":"), 21);
+  const auto startOfMember = [&](SidecarProcess& process) {
+    const std::string reply = process.call("GET /ops/fleet");
+    return reply.substr(reply.find("\"start\":"), 21);
   };
-  const std::string start = startOf(before);
-  { Version(sidecar, folder.path()).end(SIGKILL); }
+  const std::string start = startOfMember(before);
+  { SidecarProcess(sidecar, folder.path()).terminate(SIGKILL); }
   REQUIRE(seen(alive));
-  Version after(sidecar, folder.path());
-  CHECK(before.end(SIGTERM) == 0);  // it does not say good-bye for the other
-  CHECK(startOf(after) == start);
+  SidecarProcess after(sidecar, folder.path());
+  CHECK(before.terminate(SIGTERM) == 0);  // must not announce a leave
+  CHECK(startOfMember(after) == start);
   CHECK(has(after.call("GET /ops/fleet"), "\"n1\""));
   REQUIRE(seen(alive));
   CHECK(has(after.call("GET /ops/stats"), "edge_lb_fleet_size 2\n"));
-  CHECK_FALSE(has(neighbour.call("GET /ops/fleet"), "left"));
-  CHECK(after.end(SIGTERM) == 0);
+  CHECK_FALSE(has(peer.call("GET /ops/fleet"), "left"));
+  CHECK(after.terminate(SIGTERM) == 0);
   CHECK(seen(R"("name":"n0","state":"left")"));
 }
 
-TEST_CASE("a member that is flooded with garbage drops it within bounds, counts it, and serves on") {
-  Folder folder;
+TEST_CASE("a member flooded with garbage limits what it reads, counts the drops and keeps serving") {
+  TemporaryFolder folder;
   Sidecar sidecar;
   const SocketAddress address = unusedAddress();
   sidecar.more = R"(,"fleet":{"name":"f","listen":")" + address.toString() + "\"}";
-  Version member(sidecar, folder.path());
+  SidecarProcess member(sidecar, folder.path());
   Poco::Net::DatagramSocket source(SocketAddress("127.0.0.1", 0));
   std::string garbage(900, 'x');
   std::string figures;
@@ -206,22 +208,22 @@
     const std::size_t at = figures.find("edge_lb_fleet_" + name + ' ');
     return at == std::string::npos ? 0 : std::stoul(figures.substr(at + 15 + name.size()));
   };
-  // As many at a time as wait in its socket: what the system drops is not the member's to count.
+  // Bursts that fit into the socket's buffer, as drops by the kernel are not counted by the member.
   for (int i = 0; i < 2000 && count("refused{reason=\"flood\"}") == 0; ++i) {
     for (int j = 0; j < 60; ++j) source.sendTo(garbage.data(), static_cast<int>(garbage.size()), address);
     figures = member.call("GET /ops/stats");
   }
-  StreamSocket half{address};  // a length that nobody means, and then nothing
+  StreamSocket half{address};  // an implausible length, without any data
   half.sendBytes("\xff\xff\xff\xff", 4);
   Peer client = sidecar.connect();
-  CHECK(has(serve(sidecar, client), "done"));
+  CHECK(has(completeRequest(sidecar, client), "done"));
   figures = member.call("GET /ops/stats");
   CHECK(count("refused{reason=\"garbled\"}") > 0);
   CHECK(count("refused{reason=\"flood\"}") > 0);
   CHECK(count("refused{reason=\"absurd\"}") == 1);
 }
 
-TEST_CASE("a fleet that can't be is refused at the start, by its key") {
+TEST_CASE("invalid fleet settings are rejected at start with their key") {
   const std::vector<std::pair<std::string, std::string>> wrong = {
       {R"({"listen":"127.0.0.1:7946"})", "fleet.name"},
       {R"({"name":"f"})", "fleet.listen"},
@@ -240,56 +242,55 @@
   }
 }
 
-TEST_CASE("an old process that was killed or hangs keeps no new one away, and servers stay out") {
+TEST_CASE("an old process that was killed or hangs doesn't block a new one, and servers stay disabled") {
   const bool hangs = GENERATE(false, true);
   CAPTURE(hangs);
-  Folder folder;
+  TemporaryFolder folder;
   Sidecar sidecar;
-  Version before(sidecar, folder.path());
+  SidecarProcess before(sidecar, folder.path());
   CHECK(has(before.call("POST /ops/servers/down/s-1"), " 200 "));
-  hangs ? before.stop(SIGSTOP) : static_cast<void>(before.end(SIGKILL));
-  Version after(sidecar, folder.path());
+  hangs ? before.signal(SIGSTOP) : static_cast<void>(before.terminate(SIGKILL));
+  SidecarProcess after(sidecar, folder.path());
   CHECK(has(after.call("GET /ops/stats"), "edge_lb_out_of_rotation 1\n"));
-  if (hangs) before.end(SIGKILL);
+  if (hangs) before.terminate(SIGKILL);
   Peer client = sidecar.connect();
   std::size_t which = 9;
-  serve(sidecar, client, &which);
+  completeRequest(sidecar, client, &which);
   CHECK(which == 0);
 }
 
-TEST_CASE("what stands in the folder and can't be used is no obstacle") {
-  Folder folder;
+TEST_CASE("unusable files in the shared folder don't prevent the start") {
+  TemporaryFolder folder;
   Sidecar sidecar;
   const std::string name = folder.path() + "/rackroute-" + sidecar.address.toString();
   std::ofstream(name) << "no socket";
   std::ofstream(name + ".said") << "rackroute-said 1\nout 12";
-  Version process(sidecar, folder.path());
+  SidecarProcess process(sidecar, folder.path());
   Peer client = sidecar.connect();
-  CHECK(has(serve(sidecar, client), "done"));
-  CHECK(process.end(SIGTERM) == 0);
+  CHECK(has(completeRequest(sidecar, client), "done"));
+  CHECK(process.terminate(SIGTERM) == 0);
   CHECK(has(process.log(), "servers out by hand can't be read"));
 }
 
-TEST_CASE("the record of what was said comes back as it was, or not at all") {
-  handover::Said said;
+TEST_CASE("server overrides round-trip through their text format, and truncated text is rejected") {
+  handover::ServerOverrides overrides;
   const auto at = [](int millis) { return handover::Moment(std::chrono::milliseconds(millis)); };
-  said.note({7}, {true, at(1000)});
-  said.note({9}, {true, at(1000)});
-  said.note({9}, {false, at(2000)});
-  said.note({9}, {true, at(1500)});  // an older word that comes late
-  const auto read = handover::Said::read(said.text());
+  overrides.record({7}, {true, at(1000)});
+  overrides.record({9}, {true, at(1000)});
+  overrides.record({9}, {false, at(2000)});
+  overrides.record({9}, {true, at(1500)});  // an older override that arrives late
+  const auto read = handover::ServerOverrides::parse(overrides.text());
   REQUIRE(read);
-  CHECK(read->all().at({7}).out);
-  CHECK_FALSE(read->all().at({9}).out);
-  said.forgetBack(at(3000));
-  CHECK(said.all().size() == 1);
+  CHECK(read->all().at({7}).disabled);
+  CHECK_FALSE(read->all().at({9}).disabled);
+  overrides.dropEnabledBefore(at(3000));
+  CHECK(overrides.all().size() == 1);
   const std::string text = read->text();
   for (std::size_t size = 0; size < text.size(); ++size)
-    CHECK_FALSE(handover::Said::read(text.substr(0, size)));
+    CHECK_FALSE(handover::ServerOverrides::parse(text.substr(0, size)));
 }
 
-TEST_CASE(
-    "a successor goes on with what was learned: a cold server gets its part at once, an ejected one none") {
+TEST_CASE("a successor restores the snapshot: a cold server gets its share at once, an ejected one none") {
   story::Fleet before(story::terms());
   before.hold(4);
   before.share({1}, 100);
@@ -297,34 +298,34 @@
   auto cold = story::server(3);
   cold.startedAt = before.now;
   before.list(Listing::changes, {cold});
-  const Learned learned = before.balancer.learned(before.now);
-  const auto read = handover::readLearned(handover::text(learned));
+  const Learned snapshot = before.balancer.learned(before.now);
+  const auto read = handover::parseSnapshot(handover::formatSnapshot(snapshot));
   REQUIRE(read);
-  const bool told = GENERATE(true, false);
+  const bool restored = GENERATE(true, false);
   story::Fleet after(story::terms());
   cold.startedAt = after.now;
   after.list(Listing::persisted, {cold, story::server(4)});
-  if (told) after.balancer.learn(after.now, *read);
+  if (restored) after.balancer.learn(after.now, *read);
   after.now += 2s;
   for (int i = 0; i < 4; ++i) after.take(story::kNonIdempotent);
   const auto at = [&](std::uint64_t id) {
     return std::any_of(after.sent.begin(), after.sent.end(),
                        [&](const auto& sent) { return sent.server == ServerId{id}; });
   };
-  CHECK(at(3) == told);
-  CHECK(at(4) != told);
+  CHECK(at(3) == restored);
+  CHECK(at(4) != restored);
 }
 
-TEST_CASE("what was learned is read whole and plausible, or not at all") {
-  Learned learned;
-  learned.servers.resize(2);
-  const std::string text = handover::text(learned);
-  CHECK(handover::readLearned(text));
+TEST_CASE("truncated or implausible snapshots are rejected") {
+  Learned snapshot;
+  snapshot.servers.resize(2);
+  const std::string text = handover::formatSnapshot(snapshot);
+  CHECK(handover::parseSnapshot(text));
   for (std::size_t size = 0; size < text.size(); ++size)
-    CHECK_FALSE(handover::readLearned(text.substr(0, size)));
-  learned.servers[1].weight = -1;
-  CHECK_FALSE(handover::readLearned(handover::text(learned)));
-  learned.servers[1].weight = 1;
-  learned.answersPerSecond = 1e12;
-  CHECK_FALSE(handover::readLearned(handover::text(learned)));
+    CHECK_FALSE(handover::parseSnapshot(text.substr(0, size)));
+  snapshot.servers[1].weight = -1;
+  CHECK_FALSE(handover::parseSnapshot(handover::formatSnapshot(snapshot)));
+  snapshot.servers[1].weight = 1;
+  snapshot.answersPerSecond = 1e12;
+  CHECK_FALSE(handover::parseSnapshot(handover::formatSnapshot(snapshot)));
 }
--- a/tests/move_test.cpp
+++ b/tests/move_test.cpp
@@ -1,5 +1,5 @@
 #include "story.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 using namespace rackroute;
 using namespace rackroute::story;
@@ -22,11 +22,11 @@
 
 TEST_CASE("a weight that follows load is no size; settings without a word on it, or of sizes, decide alike") {
   const auto share = [](const char* weights) {
-    told::Pairs pairs{{"use_cases.count", "1"}, {"use_cases.0.effect", "retryable"},
-                      {"peers_total", "1"},     {"my_number", "0"},
-                      {"locality", "a"},        {"use_cases.0.slo_time_ms", "500"}};
+    settings::KeyValues pairs{{"use_cases.count", "1"}, {"use_cases.0.effect", "retryable"},
+                              {"peers_total", "1"},     {"my_number", "0"},
+                              {"locality", "a"},        {"use_cases.0.slo_time_ms", "500"}};
     if (weights != nullptr) pairs["weights"] = weights;
-    Fleet fleet(told::Told(7, pairs).terms);
+    Fleet fleet(settings::ParsedSettings(7, pairs).config);
     fleet.list(Listing::persisted, {weighing(1, 1), weighing(2, 1)});
     fleet.list(Listing::changes, {weighing(1, 0.1)});
     return fleet.share({1}, 400, kIdempotent);
@@ -34,7 +34,7 @@
   CHECK(share(nullptr) < 60);
   CHECK(share("rough") == share(nullptr));
   CHECK(share("live") > 70);
-  CHECK_THROWS_AS(share("heavy"), told::Malformed);
+  CHECK_THROWS_AS(share("heavy"), settings::MalformedValue);
 }
 
 TEST_CASE("a server that was named by hand before any list told its weight gets the one that is listed") {
--- a/tests/simwire_test.cpp
+++ b/tests/simwire_test.cpp
@@ -2,7 +2,7 @@
 
 #include "simwire/session.hpp"
 
-using rackroute::simwire::Malformed;
+using rackroute::simwire::MalformedValue;
 using rackroute::simwire::Session;
 
 namespace {
@@ -46,10 +46,10 @@
   Session session;
   session.read("BEGIN_BATCH\t1.0");
   session.read(kStart);
-  CHECK_THROWS_AS(session.read(line), Malformed);
+  CHECK_THROWS_AS(session.read(line), MalformedValue);
 }
 
 TEST_CASE("an event outside a batch is refused") {
   Session session;
-  CHECK_THROWS_AS(session.read("RETIRE\t3"), Malformed);
+  CHECK_THROWS_AS(session.read("RETIRE\t3"), MalformedValue);
 }
