--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -527,13 +527,13 @@
   if (!probe_) return;
   if (now >= probe_->indirectAt) {
     probe_->indirectAt = Span::max();
-    for (const MemberRecord* helper : drawLiveMembers(kIndirectProbes, probe_->target)) {
+    for (const MemberRecord* relay : drawLiveMembers(kIndirectProbes, probe_->target)) {
       Message request;
       request.kind = MessageKind::pingRequest;
       request.probeNumber = probe_->number;
       request.subject = probe_->target;
       ++probe_->indirectRequests;
-      send(helper->info->address, std::move(request));
+      send(relay->info->address, std::move(request));
     }
   }
   if (now < probe_->endsAt) return;
--- a/src/fleet/wire.hpp
+++ b/src/fleet/wire.hpp
@@ -21,7 +21,7 @@
 /// Why a message was rejected; outOfRange: well-formed, but a value or size exceeds its bounds.
 enum class DecodeError : std::uint8_t { none, corrupt, unsupportedVersion, wrongFleet, outOfRange };
 inline constexpr std::size_t kDecodeErrors = 5;
-[[nodiscard]] std::string_view nameOf(DecodeError refusal);
+[[nodiscard]] std::string_view nameOf(DecodeError error);
 
 /// Size of the CRC-32 ahead of each message.
 inline constexpr std::size_t kChecksumBytes = 4;
--- a/src/http/gather_buffer.hpp
+++ b/src/http/gather_buffer.hpp
@@ -13,6 +13,7 @@
 
 namespace rackroute::http {
 
+/// A queue of byte pieces for gathered writes.
 class GatherBuffer {
  public:
   /// Appends a piece owned by the caller; see keep().
--- a/src/routes/table.hpp
+++ b/src/routes/table.hpp
@@ -25,6 +25,7 @@
 using PoolId = Id<struct PoolTag, std::uint32_t>;
 using RouteIndex = Id<struct RouteTag, std::uint32_t>;  // index in the list of routes
 
+/// A pool that a route sends traffic to.
 struct Target {
   PoolId pool;
   double weight = 1;  // share of the traffic, relative to the other targets
@@ -34,10 +35,10 @@
 struct Route {
   std::string name;
   std::string host;  // claims.example.org, or *.example.org for all subdomains; no port
-  std::string path;  // a prefix of whole segments, such as /bind
+  std::string path;  // a prefix of complete segments, such as /bind
   std::string method;
   std::string useCase;
-  std::string header;  // header name
+  std::string header;  // name of a header
   std::string value;   // exact header value; empty: any value, but the header must be present
   std::vector<Target> targets;
 };
@@ -51,6 +52,7 @@
   std::span<const std::pair<std::string_view, std::string_view>> headers;
 };
 
+/// The route selected for a query, and the pool selected from its targets.
 struct Match {
   RouteIndex route;
   PoolId pool;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -33,7 +33,7 @@
   return update;
 }
 
-Message message(MessageKind kind, const std::string& from, std::vector<MemberUpdate> updates = {}) {
+Message makeMessage(MessageKind kind, const std::string& from, std::vector<MemberUpdate> updates = {}) {
   Message result;
   result.kind = kind;
   result.self = makeUpdate(from);
@@ -76,8 +76,8 @@
           address.ends_with(unresponsive))
         continue;
       // Relays of indirect probes don't reach the unresponsive peer either.
-      Message ack = ::message(message.kind == MessageKind::ping ? MessageKind::ack : MessageKind::nack,
-                              memberName(std::stoul(address.substr(address.rfind(':') + 1))));
+      Message ack = makeMessage(message.kind == MessageKind::ping ? MessageKind::ack : MessageKind::nack,
+                                memberName(std::stoul(address.substr(address.rfind(':') + 1))));
       ack.probeNumber = message.probeNumber;
       ack.subject = message.subject;
       for (const MemberUpdate& update : message.updates)  // refutes
@@ -152,8 +152,8 @@
 }
 
 TEST_CASE("messages round-trip through the wire format, and unknown fields of later versions are skipped") {
-  Message sent = message(MessageKind::pingRequest, "m1",
-                         {makeUpdate("m2", State::suspect, {kStart, 7}), makeUpdate("m3", State::dead)});
+  Message sent = makeMessage(MessageKind::pingRequest, "m1",
+                             {makeUpdate("m2", State::suspect, {kStart, 7}), makeUpdate("m3", State::dead)});
   sent.probeNumber = 42;
   sent.subject = memberId("m9");
   sent.updates[0].accuser = memberId("m4");
@@ -172,8 +172,8 @@
 }
 
 TEST_CASE("a datagram never exceeds its maximum size, however many updates it is given") {
-  Message sent =
-      message(MessageKind::gossip, "m1", std::vector<MemberUpdate>(500, makeUpdate(std::string(45, 'm'))));
+  Message sent = makeMessage(MessageKind::gossip, "m1",
+                             std::vector<MemberUpdate>(500, makeUpdate(std::string(45, 'm'))));
   const std::string bytes = encode("austin", sent);
   CHECK(bytes.size() <= kMaxDatagramBytes);
   Message read;
@@ -188,12 +188,12 @@
   CHECK(decode("austin", withChecksum({"\xdf\xff\xff\xff\xff", 5}), read) ==
         DecodeError::outOfRange);  // a map of 4 billion
   CHECK(decode("austin", withChecksum({"\x81\x00\x05", 3}), read) == DecodeError::unsupportedVersion);
-  Message large = message(MessageKind::gossip, "m1");
+  Message large = makeMessage(MessageKind::gossip, "m1");
   large.self = makeUpdate(std::string(200, 'm'));
   CHECK(decode("austin", encode("austin", large), read) == DecodeError::outOfRange);
   large.self = makeUpdate("m\n1");
   CHECK(decode("austin", encode("austin", large), read) == DecodeError::outOfRange);
-  const std::string encoded = encode("austin", message(MessageKind::ping, "m1", {makeUpdate("m2")}));
+  const std::string encoded = encode("austin", makeMessage(MessageKind::ping, "m1", {makeUpdate("m2")}));
   for (std::size_t size = 0; size < encoded.size(); ++size)
     CHECK(decode("austin", withChecksum(std::string_view(encoded).substr(kChecksumBytes, size)), read) !=
           (size + kChecksumBytes < encoded.size() ? DecodeError::none : DecodeError::corrupt));
@@ -210,9 +210,9 @@
   TestMember local({"m1", "m2", "m3"});
   std::uint64_t accepted = 0;
   for (int round = 0; round < 20'000; ++round) {
-    std::string bytes =
-        encode("austin", message(static_cast<MessageKind>(random() % 5), memberName(random() % 9),
-                                 {makeUpdate("m100", static_cast<State>(random() % 4)), makeUpdate("m2")}));
+    std::string bytes = encode(
+        "austin", makeMessage(static_cast<MessageKind>(random() % 5), memberName(random() % 9),
+                              {makeUpdate("m100", static_cast<State>(random() % 4)), makeUpdate("m2")}));
     bytes.erase(0, kChecksumBytes);
     for (unsigned i = random() % 4; i > 0; --i) bytes[random() % bytes.size()] = static_cast<char>(random());
     if (random() % 8 == 0) bytes.resize(random() % bytes.size());
@@ -232,13 +232,14 @@
 TEST_CASE("a member refutes its death with a higher incarnation, and at the maximum with a later start") {
   TestMember local({"m1"});
   local.member.handleMessage(local.now,
-                             message(MessageKind::gossip, "m1", {makeUpdate("m100", State::suspect)}));
+                             makeMessage(MessageKind::gossip, "m1", {makeUpdate("m100", State::suspect)}));
   CHECK(local.member.self().version == MemberVersion{kStart, 1});
-  local.member.handleMessage(
-      local.now, message(MessageKind::gossip, "m1", {makeUpdate("m100", State::dead, {kStart, 0x7ffffffe})}));
+  local.member.handleMessage(local.now, makeMessage(MessageKind::gossip, "m1",
+                                                    {makeUpdate("m100", State::dead, {kStart, 0x7ffffffe})}));
   CHECK(local.member.self().version == MemberVersion{kStart + 1, 0});
-  local.member.handleMessage(local.now, message(MessageKind::gossip, "m1",
-                                                {makeUpdate("m100", State::dead, {kStart + 1, UINT32_MAX})}));
+  local.member.handleMessage(
+      local.now,
+      makeMessage(MessageKind::gossip, "m1", {makeUpdate("m100", State::dead, {kStart + 1, UINT32_MAX})}));
   CHECK(local.member.self().version == MemberVersion{kStart + 1, 0});  // beyond the maximum incarnation
   CHECK(local.member.counters().rejectedInvalid == 1);
 }
@@ -246,18 +247,20 @@
 TEST_CASE("a member that restarts with its clock set back still ranks above its previous start") {
   TestMember local({"m1"}, {}, kStart - 3'600'000);
   local.member.handleMessage(local.now,
-                             message(MessageKind::gossip, "m1", {makeUpdate("m100", State::dead)}));
+                             makeMessage(MessageKind::gossip, "m1", {makeUpdate("m100", State::dead)}));
   CHECK(local.member.self().version.start > kStart);
 }
 
 TEST_CASE("stale updates neither revive a dead member nor override a refutation") {
   TestMember local({"m1", "m2"});
-  local.member.handleMessage(local.now, message(MessageKind::gossip, "m1", {makeUpdate("m2", State::dead)}));
-  local.member.handleMessage(local.now, message(MessageKind::ping, "m2"));  // a delayed message
+  local.member.handleMessage(local.now,
+                             makeMessage(MessageKind::gossip, "m1", {makeUpdate("m2", State::dead)}));
+  local.member.handleMessage(local.now, makeMessage(MessageKind::ping, "m2"));  // a delayed message
   CHECK(local.state("m2") == State::dead);
   local.member.handleMessage(
-      local.now, message(MessageKind::gossip, "m1", {makeUpdate("m2", State::alive, {kStart, 1})}));
-  local.member.handleMessage(local.now, message(MessageKind::gossip, "m1", {makeUpdate("m2", State::dead)}));
+      local.now, makeMessage(MessageKind::gossip, "m1", {makeUpdate("m2", State::alive, {kStart, 1})}));
+  local.member.handleMessage(local.now,
+                             makeMessage(MessageKind::gossip, "m1", {makeUpdate("m2", State::dead)}));
   CHECK(local.state("m2") == State::alive);
 }
 
@@ -293,7 +296,7 @@
   local.advance(20s);
   CHECK(local.member.connectivity() == Connectivity::full);
   local.member.handleMessage(local.now,
-                             message(MessageKind::gossip, "m1", {makeUpdate("m2", State::suspect)}));
+                             makeMessage(MessageKind::gossip, "m1", {makeUpdate("m2", State::suspect)}));
   local.now += 20s;
   local.member.wake(local.now);
   CHECK(local.state("m2") == State::suspect);  // the suspicion was extended by the stall
@@ -305,7 +308,7 @@
     "of two processes with one name the later start keeps it, and the other gets it back when that one "
     "ends") {
   TestMember local({"m1"});
-  Message conflicting = message(MessageKind::ping, "m100");
+  Message conflicting = makeMessage(MessageKind::ping, "m100");
   conflicting.self.info = std::make_shared<const MemberInfo>(MemberInfo{"m100", "127.0.9.2:100", "z0"});
   conflicting.self.version.start = kStart - 5;
   local.member.handleMessage(local.now, conflicting);
@@ -316,7 +319,7 @@
   local.member.handleMessage(local.now, conflicting);
   CHECK((local.member.displaced() && local.hasNameConflict && local.member.safeCount() == 2));
   local.sent.clear();
-  local.member.handleMessage(local.now, message(MessageKind::ping, "m1"));
+  local.member.handleMessage(local.now, makeMessage(MessageKind::ping, "m1"));
   CHECK(local.sent.empty());  // a displaced member doesn't answer
   local.advance(20s);
   CHECK((!local.member.displaced() && !local.hasNameConflict));
