--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -67,7 +67,7 @@
           "\r\nRackroute-Deadline-Ms: " + std::to_string((wanted.deadline - context_.now()) / 1ms) + "\r\n";
   if (!wanted.key.empty()) text += "Rackroute-Operation-Key: " + wanted.key + "\r\n";
   text += route.kind == RequestKind::pure ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(std::move(text));
   context_.httpClient.send(context_.machines.addressOf(machine, Port::outbound), std::move(pieces), "", false,
                            context_.startTime + wanted.deadline + kResponseSlack,
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -20,14 +20,14 @@
 
 void respondUntilClose(const std::shared_ptr<HttpServerConnection>& connection, const std::string& fields,
                        const std::string& body) {
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text("HTTP/1.1 200 OK\r\n" + fields + "Connection: close\r\n\r\n" + body);
   connection->send(std::move(pieces));
   connection->finish(sidecar::CloseReason::done);
 }
 
-http::Gather apiRequest(const std::string& method, const std::string& path, const std::string& body) {
-  http::Gather pieces;
+http::GatherBuffer apiRequest(const std::string& method, const std::string& path, const std::string& body) {
+  http::GatherBuffer pieces;
   pieces.text(method + ' ' + path + " HTTP/1.1\r\nHost: control\r\nContent-Type: application/json\r\n" +
               "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   return pieces;
@@ -154,7 +154,7 @@
   const auto caller = request.field(kCallerServiceHeader);
   if (!caller || *caller != serviceName(callerOf_(attempt)))
     fail("unexpected caller service: " + std::string(caller.value_or("none")));
-  const bool pure = request.word(0) == "GET";
+  const bool pure = request.startLinePart(0) == "GET";
   if (request.body() != (pure ? "" : "body")) fail("request body was changed");
 }
 
@@ -201,7 +201,7 @@
   connection->respond(200, fields, body);
   if (!corrupt || connection->ended()) return;
   // A duplicate that takes the place of the next response on the connection.
-  http::Gather duplicate;
+  http::GatherBuffer duplicate;
   duplicate.text("HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
                  "\r\n\r\n" + body);
   connection->send(std::move(duplicate));
--- a/src/mesh/control/main.cpp
+++ b/src/mesh/control/main.cpp
@@ -115,8 +115,8 @@
     shared_->onRequest = [this](const std::shared_ptr<HttpServerConnection>& connection,
                                 std::shared_ptr<const http::Message> request) {
       bool known = false;
-      const auto called =
-          findApiEndpoint(ApiListener::control, MachineRole::core, request->word(0), request->word(1), known);
+      const auto called = findApiEndpoint(ApiListener::control, MachineRole::core, request->startLinePart(0),
+                                          request->startLinePart(1), known);
       if (!called) return connection->respond(known ? 405 : 404, "", "");
       const OperatorCallNo no{++lastCall_};
       calls_[no] = connection;
--- a/src/mesh/sidecar/request_messages.cpp
+++ b/src/mesh/sidecar/request_messages.cpp
@@ -12,17 +12,17 @@
 constexpr std::uint32_t kMisdirectedRequest = 421;
 
 void beginRequest(std::string& head, const http::Message& request, std::string_view excluded) {
-  head += request.word(0);
+  head += request.startLinePart(0);
   head += ' ';
-  head += request.word(1);
+  head += request.startLinePart(1);
   head += " HTTP/1.1\r\n";
-  for (const std::string_view lines : request.endToEnd(excluded)) head += lines;
+  for (const std::string_view lines : request.endToEndFields(excluded)) head += lines;
 }
-http::Gather endRequest(std::string head, const RequestRef& request) {
+http::GatherBuffer endRequest(std::string head, const RequestRef& request) {
   if (!request->body().empty() || request->length() || request->chunked())
     head += "Content-Length: " + std::to_string(request->body().size()) + "\r\n";
   head += "\r\n";
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(std::move(head));
   pieces.keep(request);
   pieces.view(request->body());
@@ -31,8 +31,8 @@
 
 // An outcome query has the head of its request, as it may be answered with that request's response, but no
 // body.
-http::Gather endQuery(std::string head) {
-  http::Gather pieces;
+http::GatherBuffer endQuery(std::string head) {
+  http::GatherBuffer pieces;
   pieces.text(std::move(head) + "Content-Length: 0\r\n\r\n");
   return pieces;
 }
@@ -69,7 +69,7 @@
   return Span(static_cast<Span::rep>(milliseconds * 1000));
 }
 
-http::Gather forwardMessage(const RequestRef& request, const ForwardRequest& forward) {
+http::GatherBuffer forwardMessage(const RequestRef& request, const ForwardRequest& forward) {
   // The hop-by-hop headers are listed in Connection so that the next process removes them, including any that
   // a client set itself.
   std::string head;
@@ -81,7 +81,7 @@
   return endRequest(std::move(head), request);
 }
 
-http::Gather serverMessage(const RequestRef& request, const AdmissionAction& execution) {
+http::GatherBuffer serverMessage(const RequestRef& request, const AdmissionAction& execution) {
   std::string head;
   beginRequest(head, *request, kForwardHeader);
   head += std::string(kDeadlineHeader) + ": " + std::to_string(execution.left / 1ms) + "\r\n";
--- a/src/mesh/sidecar/request_messages.hpp
+++ b/src/mesh/sidecar/request_messages.hpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "http/gather.hpp"
+#include "http/gather_buffer.hpp"
 #include "http/message.hpp"
 #include "mesh/admission/admission.hpp"
 #include "mesh/forwarding/forwarding.hpp"
@@ -22,9 +22,9 @@
 std::optional<Span> clientTimeout(const http::Message& request);
 
 /// A request, or an outcome query, to the sidecar of a server.
-http::Gather forwardMessage(const RequestRef& request, const ForwardRequest& forward);
+http::GatherBuffer forwardMessage(const RequestRef& request, const ForwardRequest& forward);
 /// A request to the local server.
-http::Gather serverMessage(const RequestRef& request, const AdmissionAction& execution);
+http::GatherBuffer serverMessage(const RequestRef& request, const AdmissionAction& execution);
 /// The header lines that carry the reply to a forward, marked as hop-by-hop.
 std::string replyFields(const ForwardReply& reply);
 
--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -124,7 +124,8 @@
   bool canComplete(const http::Message& request) {
     const Span now = loop_.now();
     if (now >= deadline_.exitAt()) exit();
-    const auto route = sidecar_.router().routes().find(request.field("Host").value_or(""), request.word(1));
+    const auto route =
+        sidecar_.router().routes().find(request.field("Host").value_or(""), request.startLinePart(1));
     if (!route) return true;
     const Span maximum = std::min(clientTimeout(request).value_or(route->timeout), route->timeout);
     return deadline_.accepts(now, route->targetTime, maximum);
@@ -142,7 +143,7 @@
     const CallNo call{++lastCall_};
     ClientRequest summary;
     summary.host = request->field("Host").value_or("");
-    summary.path = request->word(1);
+    summary.path = request->startLinePart(1);
     summary.timeout = clientTimeout(*request);
     calls_[call] = {connection, request};
     execute(sidecar_.requestReceived(loop_.now(), call, summary));
@@ -188,8 +189,8 @@
   void apiCalled(ApiListener listener, const std::shared_ptr<HttpServerConnection>& connection,
                  const http::Message& request) {
     bool known = false;
-    const auto match =
-        findApiEndpoint(listener, MachineRole::auxiliary, request.word(0), request.word(1), known);
+    const auto match = findApiEndpoint(listener, MachineRole::auxiliary, request.startLinePart(0),
+                                       request.startLinePart(1), known);
     if (!match) return connection->respond(known ? 405 : 404, "", "");
     if (match->endpoint->kind == ApiCall::readiness)
       return connection->respond(sidecar_.ready(loop_.now()) ? 200 : 503, "", "");
@@ -271,7 +272,7 @@
   void forward(const OpenRequest& open, const RoutingAction& action) {
     const Span now = loop_.now();
     forwards_[action.attempt] = forwardClient_.send(
-        action.at, forwardMessage(open.request, action.forward), {}, open.request->word(0) == "HEAD",
+        action.at, forwardMessage(open.request, action.forward), {}, open.request->startLinePart(0) == "HEAD",
         now + action.forward.left + kServerMargin + kForwardMargin,
         [this, call = action.call, attempt = action.attempt](RequestOutcome outcome, RequestRef response) {
           forwardCompleted(call, attempt, outcome, std::move(response));
@@ -315,8 +316,8 @@
     const std::string attemptId(open.request->field(kAttemptIdHeader).value_or(""));
     const Span now = loop_.now();
     executions_[action.request] = serverClient_.send(
-        action.server, serverMessage(open.request, action), attemptId, open.request->word(0) == "HEAD",
-        now + action.left + kServerMargin,
+        action.server, serverMessage(open.request, action), attemptId,
+        open.request->startLinePart(0) == "HEAD", now + action.left + kServerMargin,
         [this, id = action.request](RequestOutcome outcome, const RequestRef& response) {
           executions_.erase(id);
           const ServerCompletion completion = serverCompletion(outcome, response);
--- a/src/mesh/transport/http_client.cpp
+++ b/src/mesh/transport/http_client.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using http::Progress;
+using http::ParseStatus;
 using sidecar::CloseReason;
 
 constexpr Span kKeepAliveMargin = 700ms;  // before the idle timeout that a peer announced
@@ -50,8 +50,8 @@
     });
     dial(Poco::Net::SocketAddress(to_.value));
   }
-  void request(std::uint64_t number, http::Gather pieces, std::string attempt, bool isHead, Span deadline,
-               Callback done) {
+  void request(std::uint64_t number, http::GatherBuffer pieces, std::string attempt, bool isHead,
+               Span deadline, Callback done) {
     number_ = number;
     attempt_ = std::move(attempt);
     isHead_ = isHead;
@@ -60,7 +60,7 @@
     skippedResponse_ = false;
     reusable_ = true;
     writtenBefore_ = bytesWritten();
-    reader_ = http::Reader(http::Reader::Kind::answer, httpClient_.options_.maxBodyBytes);
+    reader_ = http::Reader(http::Reader::Kind::response, httpClient_.options_.maxBodyBytes);
     head_.reset();
     bodyBytes_.clear();
     send(std::move(pieces));
@@ -101,20 +101,20 @@
   void received() override {
     if (!done_) return end(CloseReason::unreadAnswer);  // no request is pending
     for (;;) {
-      const Progress progress = readResponse();
-      if (progress == Progress::more) return;
-      if (progress != Progress::done) return failMalformed();
+      const ParseStatus progress = readResponse();
+      if (progress == ParseStatus::needMore) return;
+      if (progress != ParseStatus::done) return failMalformed();
       auto response = takeResponse();
       // Skips late responses to earlier requests.
       if (!matchesAttempt(*response)) {
         skippedResponse_ = true;
-        if (!response->keepsOpen()) return failMalformed();
+        if (!response->keepsAlive()) return failMalformed();
         continue;
       }
       ++messages_;
       // Not reusable if the server responded before it received the whole request: it would take the next
       // request for the rest of this one.
-      reusable_ = response->keepsOpen() && in_.empty() && !skippedResponse_ && allWritten();
+      reusable_ = response->keepsAlive() && in_.empty() && !skippedResponse_ && allWritten();
       idle_ = httpClient_.options_.idleTimeout;
       if (const auto announced = announcedIdleTimeout(*response))
         idle_ = std::min(idle_, *announced - kKeepAliveMargin);
@@ -137,22 +137,23 @@
 
  private:
   /// Reads the final response's head, then its body. done: the response can be taken by takeResponse().
-  Progress readResponse() {
+  ParseStatus readResponse() {
     while (!head_) {
-      const Progress progress = reader_.readHead(in_);
-      if (progress != Progress::done) return progress;
+      const ParseStatus progress = reader_.readHead(in_);
+      if (progress != ParseStatus::done) return progress;
       auto head = std::make_shared<http::Message>(reader_.takeHead(in_));
       if (head->status() < 200) continue;  // interim response
-      if (!isHead_ && lacksLength(*head)) return Progress::malformed;
-      body_ = isHead_ ? http::Body()
-                      : http::Body(*head, http::Reader::Kind::answer, httpClient_.options_.maxBodyBytes);
+      if (!isHead_ && lacksLength(*head)) return ParseStatus::malformed;
+      body_ = isHead_
+                  ? http::BodyReader()
+                  : http::BodyReader(*head, http::Reader::Kind::response, httpClient_.options_.maxBodyBytes);
       head_ = std::move(head);
     }
     return body_.read(in_, bodyBytes_);
   }
   std::shared_ptr<const http::Message> takeResponse() {
     const auto response = std::exchange(head_, nullptr);
-    if (!isHead_) response->giveBody(std::exchange(bodyBytes_, {}));
+    if (!isHead_) response->setBody(std::exchange(bodyBytes_, {}));
     return response;
   }
   /// A success response without a length, other than 200: http::Body reads only 200 until the connection
@@ -191,9 +192,9 @@
 
   HttpClient& httpClient_;
   Address to_;
-  http::Reader reader_{http::Reader::Kind::answer};
+  http::Reader reader_{http::Reader::Kind::response};
   std::shared_ptr<http::Message> head_;  // of the response being read
-  http::Body body_;                      // of the response being read
+  http::BodyReader body_;                // of the response being read
   std::string bodyBytes_;                // received so far
   Callback done_;
   std::string attempt_;
@@ -216,7 +217,7 @@
   if (const auto connection = connection_.lock()) connection->cancel(number_);
 }
 
-HttpClient::RequestHandle HttpClient::send(const Address& to, http::Gather request, std::string attempt,
+HttpClient::RequestHandle HttpClient::send(const Address& to, http::GatherBuffer request, std::string attempt,
                                            bool isHead, Span deadline, Callback done, Span sendBy) {
   const std::uint64_t number = ++lastNumber_;
   for (;;) {
--- a/src/mesh/transport/http_client.hpp
+++ b/src/mesh/transport/http_client.hpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "http/gather.hpp"
+#include "http/gather_buffer.hpp"
 #include "http/message.hpp"
 #include "mesh/names.hpp"
 #include "sidecar/connection.hpp"
@@ -68,8 +68,8 @@
   /// when to give up waiting for the response. sendBy: latest time to establish a connection, or the request
   /// is not sent. done is called exactly once, in a later turn of the event loop, unless the request is
   /// cancelled.
-  RequestHandle send(const Address& to, http::Gather request, std::string attempt, bool isHead, Span deadline,
-                     Callback done, Span sendBy = Span::max());
+  RequestHandle send(const Address& to, http::GatherBuffer request, std::string attempt, bool isHead,
+                     Span deadline, Callback done, Span sendBy = Span::max());
   [[nodiscard]] std::size_t dialCount() const { return dialCount_; }
 
  private:
--- a/src/mesh/transport/http_server_connection.cpp
+++ b/src/mesh/transport/http_server_connection.cpp
@@ -5,7 +5,7 @@
 namespace rackroute::mesh {
 namespace {
 
-using http::Progress;
+using http::ParseStatus;
 using sidecar::CloseReason;
 
 constexpr std::size_t kMaxReadAhead = 64 * 1024;  // bytes read ahead while a request is being handled
@@ -45,7 +45,7 @@
                                            Poco::Net::StreamSocket socket, std::string peer)
     : Connection(loop, "connection", std::move(socket), std::move(peer)),
       context_(std::move(context)),
-      reader_(http::Reader::Kind::query, context_->maxBodyBytes) {}
+      reader_(http::Reader::Kind::request, context_->maxBodyBytes) {}
 
 void HttpServerConnection::start() {
   context_->connections[this] = std::static_pointer_cast<HttpServerConnection>(shared_from_this());
@@ -58,7 +58,7 @@
 void HttpServerConnection::startTimer() {
   loop_.cancel(timer_);
   Span wait = context_->idleTimeout;
-  const bool receiving = reader_.begun(in_);
+  const bool receiving = reader_.hasInput(in_);
   if (receiving) wait = headerSeen_ ? context_->bodyTimeout : context_->headerTimeout;
   timer_ = loop_.after(wait, [this, receiving] {
     timer_ = {};
@@ -73,9 +73,9 @@
     return;
   }
   const bool receiving = receivingSince_ >= Span{0};
-  const Progress progress = reader_.read(in_);
+  const ParseStatus progress = reader_.read(in_);
   switch (progress) {
-    case Progress::more: {
+    case ParseStatus::needMore: {
       const bool headComplete = in_.find("\r\n\r\n") != std::string::npos;
       if (!receiving || headComplete != headerSeen_) {
         receivingSince_ = loop_.now();
@@ -84,13 +84,13 @@
       }
       return;
     }
-    case Progress::done:
+    case ParseStatus::done:
       break;
-    case Progress::malformed:
+    case ParseStatus::malformed:
       return reject(400);
-    case Progress::headTooLong:
+    case ParseStatus::headTooLong:
       return reject(431);
-    case Progress::bodyTooLong:
+    case ParseStatus::bodyTooLong:
       return reject(413);
   }
   loop_.cancel(timer_);
@@ -102,7 +102,7 @@
 }
 
 void HttpServerConnection::reject(std::uint32_t status) {
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text("HTTP/1.1 " + std::string(statusText(status)) +
               "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   in_.clear();
@@ -111,10 +111,10 @@
 }
 
 bool HttpServerConnection::closesAfterResponse() const {
-  return context_->draining || !request_->keepsOpen();
+  return context_->draining || !request_->keepsAlive();
 }
 
-void HttpServerConnection::sendResponse(http::Gather pieces, bool close) {
+void HttpServerConnection::sendResponse(http::GatherBuffer pieces, bool close) {
   request_.reset();
   send(std::move(pieces));
   if (ended()) return;
@@ -139,8 +139,8 @@
   text += fields;
   text += "Content-Length: " + std::to_string(body.size()) +
           (close ? "\r\nConnection: close\r\n\r\n" : "\r\n\r\n");
-  if (request_->word(0) != "HEAD") text += body;
-  http::Gather pieces;
+  if (request_->startLinePart(0) != "HEAD") text += body;
+  http::GatherBuffer pieces;
   pieces.text(std::move(text));
   sendResponse(std::move(pieces), close);
 }
@@ -150,21 +150,21 @@
   if (!request_ || ended() || finishing()) return;
   const bool close = closesAfterResponse();
   std::string head = "HTTP/1.1 ";
-  head += message->word(1);
+  head += message->startLinePart(1);
   head += ' ';
-  head += message->word(2);
+  head += message->startLinePart(2);
   head += "\r\n";
-  for (const std::string_view lines : message->endToEnd(excluded)) head += lines;
+  for (const std::string_view lines : message->endToEndFields(excluded)) head += lines;
   head += fields;
   const bool withoutBody = message->status() == 204 || message->status() == 304;
   if (!withoutBody) {
-    const bool isHead = request_->word(0) == "HEAD";
+    const bool isHead = request_->startLinePart(0) == "HEAD";
     head +=
         "Content-Length: " + std::to_string(isHead ? message->length().value_or(0) : message->body().size()) +
         "\r\n";
   }
   head += close ? "Connection: close\r\n\r\n" : "\r\n";
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   pieces.text(std::move(head));
   pieces.keep(message);
   pieces.view(message->body());
--- a/src/mesh/transport/http_server_connection.hpp
+++ b/src/mesh/transport/http_server_connection.hpp
@@ -21,7 +21,7 @@
     std::function<void(const std::shared_ptr<HttpServerConnection>&, std::shared_ptr<const http::Message>)>
         onRequest;
     std::function<void(HttpServerConnection&)> onAbandoned;  // the connection closed before the response
-    std::size_t maxBodyBytes = http::kLongestBody;
+    std::size_t maxBodyBytes = http::kMaxBodyBytes;
     Span headerTimeout = std::chrono::seconds(3);  // from the first byte of a request to the end of its head
     Span bodyTimeout = std::chrono::seconds(10);   // from the end of the head to the end of the body
     Span idleTimeout = std::chrono::seconds(15);
@@ -47,7 +47,7 @@
  private:
   void reject(std::uint32_t status);
   void startTimer();
-  void sendResponse(http::Gather pieces, bool close);
+  void sendResponse(http::GatherBuffer pieces, bool close);
   [[nodiscard]] bool closesAfterResponse() const;
 
   std::shared_ptr<ListenerContext> context_;
--- a/src/mesh/transport/session_connection.cpp
+++ b/src/mesh/transport/session_connection.cpp
@@ -51,7 +51,7 @@
   if (ended()) return;
   // Bounds the memory for a peer that does not read.
   if (unsentBytes() > kMaxBacklog) return end(CloseReason::stalled);
-  http::Gather pieces;
+  http::GatherBuffer pieces;
   if (shouldCompress(*text)) {
     if (auto compressed = compressor_.compress(text)) {
       pieces.text(std::string(kCompressedMark) + std::to_string(compressed->size()) + ' ' +
--- a/src/sidecar/admin_listener.cpp
+++ b/src/sidecar/admin_listener.cpp
@@ -20,7 +20,7 @@
 
 using namespace std::chrono_literals;
 using http::Message;
-using http::Progress;
+using http::ParseStatus;
 
 constexpr Span kRequestTimeout = 5s;
 constexpr std::size_t kMaxConnections = 32;
@@ -57,18 +57,19 @@
  protected:
   void received() override {
     if (requestRead_) return in_.clear();
-    const Progress progress = reader_.read(in_);
-    if (progress == Progress::more) return;
-    if (progress == Progress::headTooLong)
+    const ParseStatus progress = reader_.read(in_);
+    if (progress == ParseStatus::needMore) return;
+    if (progress == ParseStatus::headTooLong)
       return respond("431 Request Header Fields Too Large", "request head too long\n");
-    if (progress == Progress::bodyTooLong) return respond("413 Content Too Large", "request body too long\n");
-    if (progress != Progress::done) return respond("400 Bad Request", "malformed request\n");
+    if (progress == ParseStatus::bodyTooLong)
+      return respond("413 Content Too Large", "request body too long\n");
+    if (progress != ParseStatus::done) return respond("400 Bad Request", "malformed request\n");
     ++messages_;
     requestRead_ = true;
     const Message request = reader_.take(in_);
     in_.clear();
-    const std::string_view target = request.word(1);
-    handleRequest(request.word(0), target.substr(0, target.find('?')));
+    const std::string_view target = request.startLinePart(1);
+    handleRequest(request.startLinePart(0), target.substr(0, target.find('?')));
   }
   void closed(CloseReason) override {
     loop_.cancel(timer_);
@@ -99,7 +100,7 @@
       return respond("400 Bad Request", "malformed server name\n");
     }
     if (id.empty() || id.size() > kMaxServerIdBytes) return respond("404 Not Found", "unknown server\n");
-    const ServerId server = told::serverId(id);
+    const ServerId server = settings::serverId(id);
     if (!owner_.dispatcher_.wasEverListed(server))
       return respond("404 Not Found", "unknown server: never listed by discovery\n");
     LogLine(Level::info) << "maintenance server=" << id << (disabled ? " down" : " up");
@@ -113,7 +114,7 @@
     if (ended() || finishing()) return;
     requestRead_ = true;
     loop_.cancel(timer_);
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     std::string header = "HTTP/1.1 ";
     header.append(status).append("\r\n").append(fields);
     pieces.text(header + "Content-Length: " + std::to_string(text.size()) + "\r\nConnection: close\r\n\r\n" +
@@ -123,12 +124,12 @@
   }
 
   AdminListener& owner_;
-  http::Reader reader_{http::Reader::Kind::query};
+  http::Reader reader_{http::Reader::Kind::request};
   Loop::TimerId timer_;
   bool requestRead_ = false;
 };
 
-AdminListener::AdminListener(Loop& loop, Dispatcher& dispatcher, const told::Told& settings,
+AdminListener::AdminListener(Loop& loop, Dispatcher& dispatcher, const settings::ParsedSettings& settings,
                              Maintenance maintain)
     : loop_(loop), dispatcher_(dispatcher), settings_(settings), maintain_(std::move(maintain)) {}
 
--- a/src/sidecar/admin_listener.hpp
+++ b/src/sidecar/admin_listener.hpp
@@ -15,7 +15,7 @@
 
 #include "rackroute/balancer.hpp"
 #include "sidecar/loop.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -28,7 +28,8 @@
 
 class AdminListener {
  public:
-  AdminListener(Loop& loop, Dispatcher& dispatcher, const told::Told& settings, Maintenance maintain);
+  AdminListener(Loop& loop, Dispatcher& dispatcher, const settings::ParsedSettings& settings,
+                Maintenance maintain);
   AdminListener(const AdminListener&) = delete;
   AdminListener& operator=(const AdminListener&) = delete;
   ~AdminListener();
@@ -48,7 +49,7 @@
 
   Loop& loop_;
   Dispatcher& dispatcher_;
-  const told::Told& settings_;
+  const settings::ParsedSettings& settings_;
   Maintenance maintain_;
   const FleetTransport* fleet_ = nullptr;
   Poco::Net::ServerSocket listener_;
--- a/src/sidecar/client_listener.cpp
+++ b/src/sidecar/client_listener.cpp
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 using http::Message;
-using http::Progress;
+using http::ParseStatus;
 
 constexpr Span kIdleTimeout = 2100ms;                // between queries; exceeds what clients are promised
 constexpr Span kReadStallTimeout = 10s;              // without progress while writing a response
@@ -71,7 +71,7 @@
     open();
     readNow();  // the query has usually arrived already
   }
-  void respond(http::Gather head, const std::shared_ptr<const Message>& body = nullptr) {
+  void respond(http::GatherBuffer head, const std::shared_ptr<const Message>& body = nullptr) {
     std::string rest = "Content-Length: " + std::to_string(body ? body->body().size() : 0) + "\r\n";
     const CloseReason reason = closeReason();
     rest += reason != CloseReason::done ? "Connection: close\r\n\r\n" : "\r\n";
@@ -93,23 +93,23 @@
     if (chunkedResponse_) rest = "Transfer-Encoding: chunked\r\n";
     responseCloseReason_ = closeReason();
     responseStreaming_ = true;
-    http::Gather head;
+    http::GatherBuffer head;
     head.text("HTTP/1.1 200 OK\r\n");
-    for (const std::string_view lines : response.endToEnd("X-Load")) head.text(std::string(lines));
+    for (const std::string_view lines : response.endToEndFields("X-Load")) head.text(std::string(lines));
     head.text(rest + (responseCloseReason_ != CloseReason::done ? "Connection: close\r\n\r\n" : "\r\n"));
     send(std::move(head));
     watchResponse();
   }
   bool responsePart(std::string data) {
-    http::Gather pieces;
-    if (chunkedResponse_) pieces.text(http::chunkHead(data.size()));
+    http::GatherBuffer pieces;
+    if (chunkedResponse_) pieces.text(http::chunkHeader(data.size()));
     pieces.text(std::move(data));
     if (chunkedResponse_) pieces.text("\r\n");
     send(std::move(pieces));
     return unsentBytes() > owner_.maxUnsentBytes_;
   }
   void endResponse() {
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     if (chunkedResponse_) pieces.text("0\r\n\r\n");
     responseStreaming_ = false;
     send(std::move(pieces));
@@ -121,7 +121,7 @@
     endWithReset(CloseReason::cut);
   }
   void respond(int status, const std::string& fields = {}) {
-    http::Gather head;
+    http::GatherBuffer head;
     head.text("HTTP/1.1 " + std::string(statusText(status)) + "\r\n" + fields);
     respond(std::move(head));
   }
@@ -136,7 +136,7 @@
   }
   /// Closes the connection if it is between queries and no part of the next one has arrived.
   bool endIfIdle(CloseReason reason) {
-    if (query_ || head_ || messages_ == 0 || reader_.begun(in_) || !allWritten() || stale()) return false;
+    if (query_ || head_ || messages_ == 0 || reader_.hasInput(in_) || !allWritten() || stale()) return false;
     end(reason);
     return true;
   }
@@ -147,7 +147,7 @@
     if (finishing()) return std::pair(0, idleSince_);
     if (!allWritten()) return std::nullopt;
     if (messages_ == 0) return std::pair(loop_.now() - idleSince_ > kFirstQueryGrace ? 1 : 3, idleSince_);
-    return std::pair(reader_.begun(in_) ? 3 : 2, idleSince_);
+    return std::pair(reader_.hasInput(in_) ? 3 : 2, idleSince_);
   }
   /// Closes the connection unless it has a query in flight.
   void endUnlessBusy() {
@@ -177,11 +177,11 @@
       if (closeAfterResponse_) return;
       // Pipelining is not allowed by the protocol; message boundaries cannot be relied on any more.
       if (query_) return endInvalid("not_one_at_a_time");
-      const Progress progress = reader_.readHead(in_);
-      if (progress == Progress::more) return startHeadTimer();
-      if (progress == Progress::headTooLong) return rejectQuery(431, "head_too_long");
-      if (progress == Progress::bodyTooLong) return rejectQuery(413, "body_too_long");
-      if (progress == Progress::malformed) return rejectQuery(400, "malformed");
+      const ParseStatus progress = reader_.readHead(in_);
+      if (progress == ParseStatus::needMore) return startHeadTimer();
+      if (progress == ParseStatus::headTooLong) return rejectQuery(431, "head_too_long");
+      if (progress == ParseStatus::bodyTooLong) return rejectQuery(413, "body_too_long");
+      if (progress == ParseStatus::malformed) return rejectQuery(400, "malformed");
       takeHead();
       // Rejects an invalid query before reading its body.
       Query query;
@@ -189,10 +189,10 @@
           !problem.empty() && !isHealthCheck(*head_))
         return rejectQuery(400, problem);
     }
-    const Progress progress = body_.read(in_, bufferedBody_);
-    if (progress == Progress::bodyTooLong) return rejectBody(413, "body_too_long");
-    if (progress == Progress::malformed) return rejectBody(400, "malformed");
-    const bool complete = progress == Progress::done;
+    const ParseStatus progress = body_.read(in_, bufferedBody_);
+    if (progress == ParseStatus::bodyTooLong) return rejectBody(413, "body_too_long");
+    if (progress == ParseStatus::malformed) return rejectBody(400, "malformed");
+    const bool complete = progress == ParseStatus::done;
     if (complete && !in_.empty()) return rejectBody(400, "not_one_at_a_time");
     if (!bodyStreaming_ && !complete && bufferedBody_.size() <= kMaxBufferedBody) return;
     if (!bodyStreaming_) submitQuery(complete);
@@ -216,15 +216,16 @@
   void takeHead() {
     ++messages_;
     head_ = std::make_shared<Message>(reader_.takeHead(in_));
-    body_ = http::Body(*head_, http::Reader::Kind::query, http::kLongestStreamed);
+    body_ = http::BodyReader(*head_, http::Reader::Kind::request, http::kMaxStreamedBodyBytes);
     headStarted_ = false;
-    http10_ = head_->word(2) == "HTTP/1.0";
-    closeAfterResponse_ = !head_->keepsOpen();
+    http10_ = head_->startLinePart(2) == "HTTP/1.0";
+    closeAfterResponse_ = !head_->keepsAlive();
     bodyStartedAt_ = loop_.now();
     bytesAtBodyStart_ = bytesTransferred();
     startBodyTimer();
-    if (in_.empty() && !http10_ && http::sameName(head_->field("Expect").value_or(""), "100-continue")) {
-      http::Gather interim;
+    if (in_.empty() && !http10_ &&
+        http::equalsIgnoreCase(head_->field("Expect").value_or(""), "100-continue")) {
+      http::GatherBuffer interim;
       interim.text("HTTP/1.1 100 Continue\r\n\r\n");
       send(std::move(interim));
     }
@@ -235,20 +236,20 @@
     loop_.cancel(timer_);
   }
   static bool isHealthCheck(const Message& message) {
-    return message.word(0) == "GET" && message.word(1) == "/up";
+    return message.startLinePart(0) == "GET" && message.startLinePart(1) == "/up";
   }
   /// Submits the query, either complete or with its body still being received.
   void submitQuery(bool complete) {
     const auto message = head_;
     if (complete) {
-      message->giveBody(std::exchange(bufferedBody_, {}));
+      message->setBody(std::exchange(bufferedBody_, {}));
       bodyComplete();
     }
     if (isHealthCheck(*message) && complete) return respond(200);
     Query query;
     if (std::string_view problem = parseQuery(*message, query); !problem.empty())
       return rejectQuery(400, problem);
-    if (!complete && message->word(0) == "GET") return rejectQuery(400, "body");
+    if (!complete && message->startLinePart(0) == "GET") return rejectQuery(400, "body");
     query.bodyStreaming = bodyStreaming_ = !complete;
     if (bodyStreaming_) query.maxExecutions = 1;  // a streamed body cannot be sent again
     query_ = query.id;
@@ -275,7 +276,7 @@
     idleSince_ = loop_.now();
     if (reason != CloseReason::done) {
       // Keeps reading the body; closing now would send a reset that can overtake the response.
-      if (bodyStreaming_) setLingerLimits(http::kLongestStreamed, kDiscardBodyTimeout);
+      if (bodyStreaming_) setLingerLimits(http::kMaxStreamedBodyBytes, kDiscardBodyTimeout);
       loop_.cancel(timer_);
       if (!allWritten()) watchResponse();
       return finish(reason);
@@ -347,11 +348,11 @@
     // Servers cannot tell apart two queries in flight under one id.
     if (owner_.requestIdsInFlight_.contains(*id)) return "id_in_flight";
     try {
-      query.useCase = {owner_.settings_.useCases.known(*useCase, "class")};
-    } catch (const told::Malformed&) {
+      query.useCase = {owner_.settings_.useCases.idOf(*useCase, "class")};
+    } catch (const settings::MalformedValue&) {
       return "unknown_class";
     }
-    std::string_view path = message.word(1);
+    std::string_view path = message.startLinePart(1);
     path = path.substr(1, path.find('?') - 1);
     if (path.substr(0, path.find('/')) != *useCase) return "path_of_another_class";
     std::uint32_t millis = 0;
@@ -359,8 +360,9 @@
     if (end.ec != std::errc{} || end.ptr != time->data() + time->size() || millis == 0)
       return "deadline_not_whole_milliseconds";
     query.timeLeft = std::min<Span>(std::chrono::milliseconds(millis), kMaxTimeLeft);
-    const RetrySafety retrySafety = owner_.settings_.terms.useCases[query.useCase.value].retrySafety;
-    if (message.word(0) != (retrySafety == RetrySafety::idempotent ? "GET" : "POST")) return "method";
+    const RetrySafety retrySafety = owner_.settings_.config.useCases[query.useCase.value].retrySafety;
+    if (message.startLinePart(0) != (retrySafety == RetrySafety::idempotent ? "GET" : "POST"))
+      return "method";
     if (retrySafety == RetrySafety::idempotent && !message.body().empty()) return "body";
     if (retrySafety == RetrySafety::deduplicated && message.field("Idempotency-Key").value_or("").empty())
       return "no_mark_against_repeats";
@@ -372,17 +374,17 @@
     if (!last.empty())
       query.key = read.ec == std::errc{} && read.ptr == last.data() + last.size()
                       ? KeyId{key}
-                      : KeyId{told::serverId(last).value};
+                      : KeyId{settings::serverId(last).value};
     query.id = {++owner_.lastQuery_};
     return {};
   }
 
   ClientListener& owner_;
-  http::Reader reader_{http::Reader::Kind::query, http::kLongestStreamed};
+  http::Reader reader_{http::Reader::Kind::request, http::kMaxStreamedBodyBytes};
   std::optional<QueryId> query_;   // submitted and not yet answered
   std::string requestId_;          // X-Request-Id of that query
   std::shared_ptr<Message> head_;  // of a query whose body is being received
-  http::Body body_;
+  http::BodyReader body_;
   std::string bufferedBody_;
   Span bodyStartedAt_{};
   std::uint64_t bytesAtBodyStart_ = 0;                   // value of bytesTransferred()
@@ -398,7 +400,7 @@
   bool closeAfterResponse_ = false;
 };
 
-ClientListener::ClientListener(Loop& loop, Dispatcher& dispatcher, const told::Told& settings)
+ClientListener::ClientListener(Loop& loop, Dispatcher& dispatcher, const settings::ParsedSettings& settings)
     : loop_(loop), dispatcher_(dispatcher), settings_(settings) {}
 
 ClientListener::~ClientListener() = default;
@@ -478,16 +480,16 @@
   return connection;
 }
 
-void ClientListener::respond(QueryId query, http::Gather pieces) {
+void ClientListener::respond(QueryId query, http::GatherBuffer pieces) {
   if (ClientConnection* const connection = takeWaiting(query)) connection->respond(std::move(pieces));
 }
 
 void ClientListener::complete(QueryId query, const std::shared_ptr<const Message>& response) {
   ClientConnection* const connection = takeWaiting(query);
   if (connection == nullptr) return;
-  http::Gather head;
+  http::GatherBuffer head;
   head.text("HTTP/1.1 200 OK\r\n");
-  for (const std::string_view lines : response->endToEnd("X-Load")) head.view(lines);
+  for (const std::string_view lines : response->endToEndFields("X-Load")) head.view(lines);
   connection->respond(std::move(head), response);
 }
 
@@ -515,7 +517,7 @@
 }
 
 void ClientListener::reject(QueryId query, Span retryAfter) {
-  http::Gather head;
+  http::GatherBuffer head;
   head.text("HTTP/1.1 503 Service Unavailable\r\n");
   if (retryAfter > Span{0}) {
     const std::string millis = std::to_string(retryAfter / 1ms % 1000);
@@ -526,7 +528,7 @@
 }
 
 void ClientListener::abort(QueryId query) {
-  http::Gather head;
+  http::GatherBuffer head;
   head.text("HTTP/1.1 502 Bad Gateway\r\n");
   respond(query, std::move(head));
 }
--- a/src/sidecar/client_listener.hpp
+++ b/src/sidecar/client_listener.hpp
@@ -15,11 +15,11 @@
 #include <string>
 #include <vector>
 
-#include "http/gather.hpp"
+#include "http/gather_buffer.hpp"
 #include "http/message.hpp"
 #include "rackroute/balancer.hpp"
 #include "sidecar/loop.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -28,7 +28,7 @@
 
 class ClientListener {
  public:
-  ClientListener(Loop& loop, Dispatcher& dispatcher, const told::Told& settings);
+  ClientListener(Loop& loop, Dispatcher& dispatcher, const settings::ParsedSettings& settings);
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
   ~ClientListener();
@@ -71,7 +71,7 @@
   void setAccepting(bool on);
   /// Removes and returns the connection that waits for the query's response; null if there is none.
   ClientConnection* takeWaiting(QueryId query);
-  void respond(QueryId query, http::Gather pieces);
+  void respond(QueryId query, http::GatherBuffer pieces);
   [[nodiscard]] bool crowded() const;
   void closeListener();
   void connectionEnded(ClientConnection& connection);
@@ -79,7 +79,7 @@
 
   Loop& loop_;
   Dispatcher& dispatcher_;
-  const told::Told& settings_;
+  const settings::ParsedSettings& settings_;
   Poco::Net::ServerSocket listener_;
   std::map<ClientConnection*, std::shared_ptr<ClientConnection>> connections_;
   std::map<QueryId, ClientConnection*> waiting_;
--- a/src/sidecar/connection.hpp
+++ b/src/sidecar/connection.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-#include "http/gather.hpp"
+#include "http/gather_buffer.hpp"
 #include "sidecar/loop.hpp"
 
 namespace rackroute::sidecar {
@@ -52,7 +52,7 @@
   /// Registers an accepted socket. Separate from the constructor, as event handlers need shared_from_this().
   void open();
   void dial(const Poco::Net::SocketAddress& address);
-  void send(http::Gather pieces);
+  void send(http::GatherBuffer pieces);
   /// Closes gracefully: writes all queued data, shuts down sending and lingers until the peer closes, so that
   /// no reset overtakes the last message.
   void finish(CloseReason reason);
@@ -107,7 +107,7 @@
   std::string_view side_;
   std::string peer_;
   Poco::Net::StreamSocket socket_;
-  http::Gather out_;
+  http::GatherBuffer out_;
   Loop::TimerId lingerTimer_;
   std::size_t discardedBytes_ = 0;  // received while finishing
   std::uint64_t bytesIn_ = 0;
--- a/src/sidecar/discovery.cpp
+++ b/src/sidecar/discovery.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using http::Progress;
+using http::ParseStatus;
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
@@ -47,7 +47,7 @@
   throw std::invalid_argument("not a numeric address with port: '" + text + "'");
 }
 
-ServerList readList(const Poco::Dynamic::Var& json, told::Names& zones, const Loop& loop,
+ServerList readList(const Poco::Dynamic::Var& json, settings::NameTable& zones, const Loop& loop,
                     std::uint64_t& index) {
   const auto object = json.extract<Object::Ptr>();
   ServerList list;
@@ -58,7 +58,7 @@
   for (const auto& item : *entries) {
     const auto entry = item.extract<Object::Ptr>();
     ListedServer server;
-    server.id = told::serverId(entry->getValue<std::string>("name"));
+    server.id = settings::serverId(entry->getValue<std::string>("name"));
     server.lifecycle = lifecycle(entry->getValue<std::string>("status"));
     server.zone = {zones.id(entry->optValue<std::string>("zone", ""))};
     server.cell = {entry->optValue<std::int64_t>("group", 0)};
@@ -85,7 +85,7 @@
 
   void request(const Poco::Net::SocketAddress& address) {
     restartSilenceTimer();
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     std::string head = "GET /discovery/hosts";
     if (watch_) head += "?watch=1&after=" + std::to_string(discovery_.index_);
     pieces.text(head + " HTTP/1.1\r\nHost: " + address.toString() +
@@ -118,9 +118,9 @@
     silenceTimer_ = loop_.after(kSilenceTimeout, [this] { end(CloseReason::silent); });
   }
   void readListResponse() {
-    const Progress progress = reader_.read(in_);
-    if (progress == Progress::more) return;
-    if (progress != Progress::done) return end(CloseReason::badMessage);
+    const ParseStatus progress = reader_.read(in_);
+    if (progress == ParseStatus::needMore) return;
+    if (progress != ParseStatus::done) return end(CloseReason::badMessage);
     const http::Message response = reader_.take(in_);
     if (response.status() != 200) return end(CloseReason::refused);
     if (!discovery_.applyList(std::string(response.body()), false, false))
@@ -129,15 +129,15 @@
   }
   void readWatchLines() {
     if (!headRead_) {
-      const Progress progress = reader_.readHead(in_);
-      if (progress == Progress::more) return;
-      if (progress != Progress::done) return end(CloseReason::badMessage);
+      const ParseStatus progress = reader_.readHead(in_);
+      if (progress == ParseStatus::needMore) return;
+      if (progress != ParseStatus::done) return end(CloseReason::badMessage);
       const http::Message head = reader_.takeHead(in_);
       if (head.status() != 200 || !head.chunked()) return end(CloseReason::refused);
       headRead_ = true;
     }
     std::size_t used = 0;
-    const Progress progress = chunks_.read(in_, used, buffer_, kMaxListBytes);
+    const ParseStatus progress = chunks_.read(in_, used, buffer_, kMaxListBytes);
     in_.erase(0, used);
     for (std::size_t end; (end = buffer_.find('\n')) != std::string::npos;) {
       std::string line = buffer_.substr(0, end);
@@ -148,14 +148,14 @@
         return this->end(CloseReason::badMessage);
       if (ended()) return;
     }
-    if (progress == Progress::done) return end(CloseReason::peerClosed);
-    if (progress != Progress::more) end(CloseReason::badMessage);
+    if (progress == ParseStatus::done) return end(CloseReason::peerClosed);
+    if (progress != ParseStatus::needMore) end(CloseReason::badMessage);
   }
 
   Discovery& discovery_;
   bool watch_;
-  http::Reader reader_{http::Reader::Kind::answer, kMaxListBytes};
-  http::Chunks chunks_;
+  http::Reader reader_{http::Reader::Kind::response, kMaxListBytes};
+  http::ChunkDecoder chunks_;
   std::string buffer_;
   Loop::TimerId silenceTimer_;
   bool headRead_ = false;
@@ -163,8 +163,8 @@
   bool quiet_ = false;
 };
 
-Discovery::Discovery(Loop& loop, Dispatcher& dispatcher, told::Names& zones, Poco::Net::SocketAddress address,
-                     std::uint64_t index)
+Discovery::Discovery(Loop& loop, Dispatcher& dispatcher, settings::NameTable& zones,
+                     Poco::Net::SocketAddress address, std::uint64_t index)
     : loop_(loop), dispatcher_(dispatcher), zones_(zones), address_(std::move(address)), index_(index) {}
 
 Discovery::~Discovery() = default;
--- a/src/sidecar/discovery.hpp
+++ b/src/sidecar/discovery.hpp
@@ -15,7 +15,7 @@
 
 #include "sidecar/dispatcher.hpp"
 #include "sidecar/loop.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -25,12 +25,12 @@
 Poco::Net::SocketAddress numericAddress(const std::string& text);
 
 /// Parses a server list in the JSON format of discovery and of the configuration. Throws if it is malformed.
-ServerList readList(const Poco::Dynamic::Var& json, told::Names& zones, const Loop& loop,
+ServerList readList(const Poco::Dynamic::Var& json, settings::NameTable& zones, const Loop& loop,
                     std::uint64_t& index);
 
 class Discovery {
  public:
-  Discovery(Loop& loop, Dispatcher& dispatcher, told::Names& zones, Poco::Net::SocketAddress address,
+  Discovery(Loop& loop, Dispatcher& dispatcher, settings::NameTable& zones, Poco::Net::SocketAddress address,
             std::uint64_t index);
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
@@ -54,7 +54,7 @@
 
   Loop& loop_;
   Dispatcher& dispatcher_;
-  told::Names& zones_;
+  settings::NameTable& zones_;
   Poco::Net::SocketAddress address_;
   std::uint64_t index_;
   std::map<std::string, Poco::JSON::Object::Ptr> entries_;  // by server name
--- a/src/sidecar/dispatcher.cpp
+++ b/src/sidecar/dispatcher.cpp
@@ -14,13 +14,13 @@
 
 }  // namespace
 
-void Dispatcher::start(const told::Told& settings, ClientListener& clients, ServerPool& servers,
+void Dispatcher::start(const settings::ParsedSettings& settings, ClientListener& clients, ServerPool& servers,
                        Discovery& discovery, const ServerList& known) {
   clients_ = &clients;
   servers_ = &servers;
   discovery_ = &discovery;
-  loop_.counters.finalResults.resize(settings.terms.useCases.size());
-  balancer_.emplace(settings.terms, *this);
+  loop_.counters.finalResults.resize(settings.config.useCases.size());
+  balancer_.emplace(settings.config, *this);
   serversListed(known);
 }
 
--- a/src/sidecar/dispatcher.hpp
+++ b/src/sidecar/dispatcher.hpp
@@ -20,7 +20,7 @@
 #include "rackroute/balancer.hpp"
 #include "sidecar/loop.hpp"
 #include "sidecar/server_pool.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -43,8 +43,8 @@
   Dispatcher& operator=(const Dispatcher&) = delete;
 
   /// Creates the balancer with the last known server list.
-  void start(const told::Told& settings, ClientListener& clients, ServerPool& servers, Discovery& discovery,
-             const ServerList& known);
+  void start(const settings::ParsedSettings& settings, ClientListener& clients, ServerPool& servers,
+             Discovery& discovery, const ServerList& known);
 
   void submit(const std::shared_ptr<const http::Message>& message, const Query& query);
   /// Passes on a part of a query's body, for queries submitted before their body was complete.
--- a/src/sidecar/fleet_config.cpp
+++ b/src/sidecar/fleet_config.cpp
@@ -66,8 +66,10 @@
 bool FleetConfig::operator==(const FleetConfig& other) const {
   return name == other.name && self.name == other.self.name && self.address == other.self.address &&
          self.zone == other.self.zone && listen == other.listen && join == other.join &&
-         membership.period == other.membership.period && membership.suspicion == other.membership.suspicion &&
-         membership.most == other.membership.most && membership.keepDead == other.membership.keepDead &&
+         membership.period == other.membership.period &&
+         membership.suspicionMultiplier == other.membership.suspicionMultiplier &&
+         membership.maxMembers == other.membership.maxMembers &&
+         membership.deadRetention == other.membership.deadRetention &&
          maxBytesPerSecond == other.maxBytesPerSecond;
 }
 
@@ -105,9 +107,9 @@
     }
   }
   config.membership.period = seconds(number(object, "period_ms", 1000, 100, 60'000) / 1000);
-  config.membership.suspicion = number(object, "suspicion", 1, 0.5, 10);
-  config.membership.most = static_cast<std::size_t>(number(object, "most_members", 2000, 2, 20'000));
-  config.membership.keepDead = seconds(number(object, "keep_dead_s", 86'400, 60, 604'800));
+  config.membership.suspicionMultiplier = number(object, "suspicion", 1, 0.5, 10);
+  config.membership.maxMembers = static_cast<std::size_t>(number(object, "most_members", 2000, 2, 20'000));
+  config.membership.deadRetention = seconds(number(object, "keep_dead_s", 86'400, 60, 604'800));
   config.maxBytesPerSecond =
       static_cast<std::size_t>(number(object, "bytes_a_second", 65'536, 4096, 10'000'000));
   return config;
--- a/src/sidecar/fleet_config.hpp
+++ b/src/sidecar/fleet_config.hpp
@@ -15,10 +15,10 @@
 
 struct FleetConfig {
   std::string name;               // messages of other fleets are rejected
-  fleet::Card self;               // this member, with its advertised address
+  fleet::MemberInfo self;         // this member, with its advertised address
   std::string listen;             // local address for listening and sending
   std::vector<std::string> join;  // initial contacts
-  fleet::Rhythm membership;
+  fleet::MembershipConfig membership;
   std::size_t maxBytesPerSecond = 0;  // mean send rate
 
   bool operator==(const FleetConfig& other) const;
--- a/src/sidecar/fleet_transport.cpp
+++ b/src/sidecar/fleet_transport.cpp
@@ -86,7 +86,7 @@
   void connect(const Poco::Net::SocketAddress& address) {
     startTimeout();
     dial(address);
-    sendView(transport_.membership_.question());
+    sendView(transport_.membership_.viewRequest());
   }
   [[nodiscard]] bool initiator() const { return initiator_; }
 
@@ -97,15 +97,15 @@
       for (std::size_t i = 0; i < kFrameHeaderBytes; ++i)
         size = size << 8U | static_cast<unsigned char>(in_[i]);
       // Rejects implausible lengths, which would otherwise be buffered.
-      if (size > transport_.maxViewBytes()) return reject(fleet::Refusal::absurd);
+      if (size > transport_.maxViewBytes()) return reject(fleet::DecodeError::outOfRange);
       if (in_.size() < kFrameHeaderBytes + size) return;
-      fleet::Whole remote;
-      const fleet::Refusal refusal = fleet::decode(
+      fleet::ViewMessage remote;
+      const fleet::DecodeError refusal = fleet::decode(
           transport_.config_.name, std::string_view(in_).substr(kFrameHeaderBytes, size), remote);
       transport_.bytesIn_ += kFrameHeaderBytes + size;
       in_.erase(0, kFrameHeaderBytes + size);
       ++messages_;
-      if (refusal != fleet::Refusal::none) return reject(refusal);
+      if (refusal != fleet::DecodeError::none) return reject(refusal);
       handleView(remote);
     }
   }
@@ -118,28 +118,28 @@
   void startTimeout() {
     timer_ = loop_.after(kExchangeTimeout, [this] { end(CloseReason::silent); });
   }
-  void reject(fleet::Refusal refusal) {
+  void reject(fleet::DecodeError refusal) {
     ++transport_.rejected_.at(static_cast<std::size_t>(refusal));
     end(CloseReason::badMessage);
   }
-  void handleView(const fleet::Whole& remote) {
+  void handleView(const fleet::ViewMessage& remote) {
     fleet::Membership& membership = transport_.membership_;
     if (membership.displaced()) return finish(CloseReason::done);
     const bool inSync = remote.digest == membership.digest();
     const bool lastView = initiator_ || viewReceived_;
     if (!initiator_ && !viewReceived_ && inSync) return finish(CloseReason::done);
     viewReceived_ = true;
-    const fleet::Whole reply = membership.whole(loop_.now(), remote.marks);
+    const fleet::ViewMessage reply = membership.viewFor(loop_.now(), remote.bucketDigests);
     membership.merge(loop_.now(), remote);
     // An initiator that knows no other members has sent all it knows in its request.
-    if (initiator_ ? !reply.words.empty() : !lastView) sendView(reply);
+    if (initiator_ ? !reply.updates.empty() : !lastView) sendView(reply);
     if (lastView) finish(CloseReason::done);
     transport_.membershipUpdated();
   }
-  void sendView(const fleet::Whole& view) {
+  void sendView(const fleet::ViewMessage& view) {
     const std::string bytes = frame(fleet::encode(transport_.config_.name, view));
     static_cast<void>(transport_.spendBytes(bytes.size(), -1e18));
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.text(bytes);
     send(std::move(pieces));
   }
@@ -162,7 +162,7 @@
 
 void FleetTransport::start() {
   open();
-  membership_.begin(loop_.now());
+  membership_.start(loop_.now());
   membershipUpdated();
 }
 
@@ -172,12 +172,12 @@
     std::istringstream text(object->getValue<std::string>("view"));
     Poco::Base64Decoder decoder(text);
     const std::string bytes{std::istreambuf_iterator<char>(decoder), {}};
-    fleet::Whole view;
-    if (fleet::decode(config_.name, bytes, view) != fleet::Refusal::none ||
+    fleet::ViewMessage view;
+    if (fleet::decode(config_.name, bytes, view) != fleet::DecodeError::none ||
         view.self.id != membership_.self().id)
       throw std::runtime_error("belongs to another member");
-    membership_.know(loop_.now(), view.words);
-    membership_.goOn(view.self.life);
+    membership_.addKnownMembers(loop_.now(), view.updates);
+    membership_.resumeAs(view.self.version);
   } catch (const Poco::Exception& error) {
     LogLine(Level::warning) << "no_handover what=\"fleet view: " << error.displayText() << '"';
   } catch (const std::exception& error) {
@@ -189,7 +189,7 @@
 std::string FleetTransport::state() const {
   std::ostringstream text;
   Poco::Base64Encoder encoder(text);
-  encoder << fleet::encode(config_.name, membership_.whole(loop_.now()));
+  encoder << fleet::encode(config_.name, membership_.viewFor(loop_.now()));
   encoder.close();
   Object::Ptr object = new Object;
   object->set("view", text.str());
@@ -208,7 +208,7 @@
     bindRetryTimer_ = loop_.after(kBindRetryInterval, [this] { startWhenFree(); });
     return;
   }
-  membership_.begin(loop_.now());
+  membership_.start(loop_.now());
   membershipUpdated();
 }
 
@@ -284,7 +284,7 @@
 }
 
 void FleetTransport::read() {
-  std::array<char, fleet::kLongestDatagram + 1> bytes{};
+  std::array<char, fleet::kMaxDatagramBytes + 1> bytes{};
   for (int i = 0; i < kMaxDatagramsPerTurn && socket_; ++i) {
     sockaddr_in source{};
     socklen_t length = sizeof source;
@@ -295,10 +295,10 @@
     ++messagesIn_;
     bytesIn_ += static_cast<std::size_t>(size);
     fleet::Message message;
-    const fleet::Refusal refusal =
+    const fleet::DecodeError refusal =
         fleet::decode(config_.name, {bytes.data(), static_cast<std::size_t>(size)}, message);
-    if (refusal == fleet::Refusal::none)
-      membership_.heard(loop_.now(), message);
+    if (refusal == fleet::DecodeError::none)
+      membership_.handleMessage(loop_.now(), message);
     else
       ++rejected_.at(static_cast<std::size_t>(refusal));
   }
@@ -306,7 +306,7 @@
 }
 
 std::size_t FleetTransport::maxViewBytes() const {
-  return std::min(fleet::kLongestWhole, kMaxMemberBytes * (config_.membership.most + 1));
+  return std::min(fleet::kMaxViewMessageBytes, kMaxMemberBytes * (config_.membership.maxMembers + 1));
 }
 
 // Token bucket for sent bytes, with a capacity of one second. Gossip gives way first, as it is redundant.
@@ -328,7 +328,7 @@
 void FleetTransport::send(const std::string& address, const fleet::Message& message) {
   if (!socket_) return;
   const std::string bytes = fleet::encode(config_.name, message);
-  const bool gossip = message.kind == fleet::Kind::news;
+  const bool gossip = message.kind == fleet::MessageKind::gossip;
   if (!spendBytes(bytes.size(), gossip ? 0 : -static_cast<double>(config_.maxBytesPerSecond))) return;
   try {
     const Poco::Net::SocketAddress to = numericAddress(address);
@@ -337,7 +337,7 @@
     static_cast<void>(::sendto(socket_->impl()->sockfd(), bytes.data(), bytes.size(),
                                MSG_DONTWAIT | MSG_NOSIGNAL, to.addr(), to.length()));
   } catch (const std::exception&) {
-    ++rejected_.at(static_cast<std::size_t>(fleet::Refusal::absurd));
+    ++rejected_.at(static_cast<std::size_t>(fleet::DecodeError::outOfRange));
   }
 }
 
@@ -358,7 +358,7 @@
       if (const auto alive = weak.lock(); alive && !alive->ended()) alive->connect(to);
     });
   } catch (const std::exception&) {
-    ++rejected_.at(static_cast<std::size_t>(fleet::Refusal::absurd));
+    ++rejected_.at(static_cast<std::size_t>(fleet::DecodeError::outOfRange));
   }
 }
 
@@ -395,8 +395,8 @@
         membershipUpdated();
       });
   }
-  if (const fleet::Hearing current = membership_.hearing(); current != connectivity_) {
-    LogLine(current == fleet::Hearing::whole ? Level::info : Level::warning)
+  if (const fleet::Connectivity current = membership_.connectivity(); current != connectivity_) {
+    LogLine(current == fleet::Connectivity::full ? Level::info : Level::warning)
         << "fleet_hears " << nameOf(current) << " was=" << nameOf(connectivity_)
         << " alive=" << membership_.view().count(fleet::State::alive) + 1
         << " size=" << membership_.safeCount();
@@ -407,16 +407,16 @@
   sizeChanged_(static_cast<std::uint32_t>(safeCount_));
 }
 
-void FleetTransport::changed(const fleet::Held& member, std::optional<fleet::State> previous) {
+void FleetTransport::memberChanged(const fleet::MemberRecord& member, std::optional<fleet::State> previous) {
   if (changes_.empty()) loop_.after(kChangeLogInterval, [this] { logChanges(); });
-  changes_.push_back({member.card, member.state, previous});
+  changes_.push_back({member.info, member.state, previous});
 }
 
 void FleetTransport::logChanges() {
   const auto changes = std::exchange(changes_, {});
   if (changes.size() <= kMaxChangesLoggedSingly) {
     for (const Change& change : changes)
-      LogLine(Level::info) << "fleet_member name=" << change.card->name << " state=" << nameOf(change.state)
+      LogLine(Level::info) << "fleet_member name=" << change.info->name << " state=" << nameOf(change.state)
                            << " was=" << (change.previous ? nameOf(*change.previous) : "unknown");
     return;
   }
@@ -429,7 +429,7 @@
                        << " now_dead=" << view.count(fleet::State::dead);
 }
 
-void FleetTransport::nameTaken(bool taken, const std::string& by) {
+void FleetTransport::nameConflict(bool taken, const std::string& by) {
   LogLine(taken ? Level::error : Level::info)
       << (taken ? "fleet_name_taken" : "fleet_name_back") << " name=" << config_.self.name << " by=" << by;
 }
@@ -440,25 +440,25 @@
   Object::Ptr result = new Object(Poco::JSON_PRESERVE_KEY_ORDER);
   result->set("self", config_.self.name);
   result->set("fleet", config_.name);
-  result->set("hearing", std::string(nameOf(membership_.hearing())));
+  result->set("hearing", std::string(nameOf(membership_.connectivity())));
   result->set("size", static_cast<std::uint64_t>(membership_.safeCount()));
-  result->set("health", membership_.ill());
+  result->set("health", membership_.localHealth());
   result->set("name_taken", membership_.displaced());
   Poco::JSON::Array::Ptr members = new Poco::JSON::Array;
-  const auto add = [&](const fleet::Word& update, Span since) {
+  const auto add = [&](const fleet::MemberUpdate& update, Span since) {
     Object::Ptr entry = new Object(Poco::JSON_PRESERVE_KEY_ORDER);
-    entry->set("name", update.card->name);
+    entry->set("name", update.info->name);
     entry->set("state", std::string(nameOf(update.state)));
-    entry->set("zone", update.card->zone);
-    entry->set("address", update.card->address);
-    entry->set("start", update.life.start);
-    entry->set("incarnation", update.life.incarnation);
+    entry->set("zone", update.info->zone);
+    entry->set("address", update.info->address);
+    entry->set("start", update.version.start);
+    entry->set("incarnation", update.version.incarnation);
     entry->set("since_ms", static_cast<std::int64_t>((now - since) / 1ms));
     members->add(entry);
   };
   add(membership_.self(), Span{});
-  for (const fleet::Held& record : view.all())
-    add({record.card, record.id, record.life, record.state, {}, {}}, record.since);
+  for (const fleet::MemberRecord& record : view.all())
+    add({record.info, record.id, record.version, record.state, {}, {}}, record.since);
   result->set("members", members);
   std::ostringstream text;
   result->stringify(text);
@@ -475,7 +475,7 @@
     header(name, type, help);
     out << "edge_lb_fleet_" << name << ' ' << value << '\n';
   };
-  const fleet::Figures& seen = membership_.figures();
+  const fleet::MembershipCounters& seen = membership_.counters();
   header("members", "gauge", "Other members known, by state.");
   for (const auto state :
        {fleet::State::alive, fleet::State::suspect, fleet::State::dead, fleet::State::left})
@@ -483,8 +483,8 @@
         << '\n';
   metric("size", "gauge", "Members that may be running, this one among them.", membership_.safeCount());
   metric("hearing", "gauge", "0 whole, 1 partial, 2 alone.",
-         static_cast<std::uint64_t>(membership_.hearing()));
-  metric("health", "gauge", "Doubt in itself: 0 none, 8 the most.", membership_.ill());
+         static_cast<std::uint64_t>(membership_.connectivity()));
+  metric("health", "gauge", "Doubt in itself: 0 none, 8 the most.", membership_.localHealth());
   metric("probes", "counter", "Probes of other members.", seen.probes);
   metric("probes_lost", "counter", "Probes that nobody answered.", seen.probesLost);
   metric("suspicions_refuted", "counter", "Talk of its own death that it put right.", seen.refuted);
@@ -501,11 +501,11 @@
     out << "edge_lb_fleet_refused{reason=\"" << reason << "\"} " << count << '\n';
   };
   for (std::size_t i = 1; i < rejected_.size(); ++i)
-    refused(nameOf(static_cast<fleet::Refusal>(i)), rejected_[i]);
+    refused(nameOf(static_cast<fleet::DecodeError>(i)), rejected_[i]);
   refused("flood", floodDrops_);
   refused("misdirected", seen.misdirected);
-  refused("full", seen.refusedFull);
-  refused("absurd_word", seen.refusedAbsurd);
+  refused("full", seen.rejectedFull);
+  refused("absurd_word", seen.rejectedInvalid);
 }
 
 }  // namespace rackroute::sidecar
--- a/src/sidecar/fleet_transport.hpp
+++ b/src/sidecar/fleet_transport.hpp
@@ -30,7 +30,7 @@
 
 class FleetLink;
 
-class FleetTransport : public fleet::Surroundings {
+class FleetTransport : public fleet::MembershipHost {
  public:
   /// `sizeChanged` is called with the safe member count at the start and on each change.
   FleetTransport(Loop& loop, FleetConfig config, std::uint64_t seed,
@@ -58,8 +58,8 @@
 
   void send(const std::string& address, const fleet::Message& message) override;
   void exchange(const std::string& address) override;
-  void changed(const fleet::Held& member, std::optional<fleet::State> previous) override;
-  void nameTaken(bool taken, const std::string& by) override;
+  void memberChanged(const fleet::MemberRecord& member, std::optional<fleet::State> previous) override;
+  void nameConflict(bool taken, const std::string& by) override;
 
   void open();
   void close();
@@ -73,7 +73,7 @@
   [[nodiscard]] bool spendBytes(std::size_t bytes, double minBudget);
 
   struct Change {
-    fleet::CardPtr card;
+    fleet::MemberInfoPtr info;
     fleet::State state;
     std::optional<fleet::State> previous;
   };
@@ -95,7 +95,7 @@
   double sendBudgetBytes_ = 0;
   Span budgetUpdatedAt_{};
   std::size_t safeCount_ = 0;
-  fleet::Hearing connectivity_ = fleet::Hearing::alone;
+  fleet::Connectivity connectivity_ = fleet::Connectivity::isolated;
   bool left_ = false;
   std::uint64_t messagesIn_ = 0;
   std::uint64_t messagesOut_ = 0;
@@ -104,7 +104,7 @@
   std::uint64_t exchanges_ = 0;
   std::uint64_t heldBack_ = 0;    // not sent, as over the send budget
   std::uint64_t floodDrops_ = 0;  // dropped by the rate limit
-  std::array<std::uint64_t, fleet::kRefusals> rejected_{};
+  std::array<std::uint64_t, fleet::kDecodeErrors> rejected_{};
 };
 
 }  // namespace rackroute::sidecar
--- a/src/sidecar/handover.cpp
+++ b/src/sidecar/handover.cpp
@@ -24,7 +24,7 @@
 #include <thread>
 #include <utility>
 
-#include "handover/learned.hpp"
+#include "handover/snapshot_text.hpp"
 #include "sidecar/client_listener.hpp"
 #include "sidecar/connection.hpp"
 #include "sidecar/discovery.hpp"
@@ -36,7 +36,7 @@
 
 using namespace std::chrono_literals;
 using handover::Moment;
-using handover::Word;
+using handover::ServerOverride;
 using Poco::JSON::Object;
 
 constexpr std::string_view kHello = "rackroute-handover 1";  // protocol name and version
@@ -174,7 +174,7 @@
     readNow();
   }
   void sendLine(const std::string& line) {
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.text(line + '\n');
     send(std::move(pieces));
   }
@@ -210,9 +210,9 @@
       return true;
     }
     ServerId server;
-    Word entry;
+    ServerOverride entry;
     if (line.substr(0, space) != "keep" || number.ptr == rest.data() + rest.size() ||
-        !handover::readLine({number.ptr + 1, rest.data() + rest.size()}, server, entry))
+        !handover::parseOverride({number.ptr + 1, rest.data() + rest.size()}, server, entry))
       return false;
     handover_.apply(server, entry);
     sendLine("kept " + std::to_string(sequence));
@@ -284,10 +284,10 @@
   if (std::ifstream file(socketPath_ + ".said"); file) {
     std::ostringstream text;
     text << file.rdbuf();
-    if (const auto read = handover::Said::read(text.str())) {
+    if (const auto read = handover::ServerOverrides::parse(text.str())) {
       for (const auto& [server, entry] : read->all()) {
         // A recently enabled server is disabled first, so that it counts as just started.
-        if (!entry.out) apply(server, {true, entry.at});
+        if (!entry.disabled) apply(server, {true, entry.at});
         apply(server, entry);
       }
     } else {
@@ -383,7 +383,8 @@
 }
 
 void Handover::setServerDisabled(ServerId server, bool disabled, std::function<void(bool)> done) {
-  const Word entry{disabled, std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now())};
+  const ServerOverride entry{disabled,
+                             std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now())};
   apply(server, entry);
   if (!saveOverrides()) return done(false);
   if (peers_.empty()) return done(true);
@@ -399,7 +400,7 @@
   const auto peers = peers_;
   for (const auto& [key, peer] : peers) {
     peer->pendingAcks.insert(sequence);
-    peer->sendLine("keep " + std::to_string(sequence) + ' ' + handover::line(server, entry));
+    peer->sendLine("keep " + std::to_string(sequence) + ' ' + handover::formatOverride(server, entry));
   }
 }
 
@@ -412,16 +413,16 @@
   onComplete();
 }
 
-void Handover::apply(ServerId server, Word entry) {
-  if (!overrides_.note(server, entry)) LogLine(Level::warning) << "too many servers disabled by hand";
+void Handover::apply(ServerId server, ServerOverride entry) {
+  if (!overrides_.record(server, entry)) LogLine(Level::warning) << "too many servers disabled by hand";
   dispatcher_->recordListed(server);
-  if (entry.out) return dispatcher_->disableServer(server);
+  if (entry.disabled) return dispatcher_->disableServer(server);
   dispatcher_->enableServer(server, loop_.sinceStart(entry.at));
 }
 
 bool Handover::saveOverrides() {
-  overrides_.forgetBack(std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now()) -
-                        kEnabledRetention);
+  overrides_.dropEnabledBefore(
+      std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now()) - kEnabledRetention);
   if (socketPath_.empty()) return true;
   const std::string temporary = socketPath_ + ".said.new";
   std::ofstream file(temporary, std::ios::trunc);
@@ -437,7 +438,7 @@
   Poco::JSON::Array::Ptr everListed = new Poco::JSON::Array;
   for (const ServerId server : dispatcher_->everListed()) everListed->add(std::to_string(server.value));
   state->set("ever", everListed);
-  state->set("learned", handover::text(dispatcher_->snapshot()));
+  state->set("learned", handover::formatSnapshot(dispatcher_->snapshot()));
   if (fleetState_) state->set("fleet", fleetState_());
   std::ostringstream text;
   state->stringify(text);
--- a/src/sidecar/handover.hpp
+++ b/src/sidecar/handover.hpp
@@ -19,7 +19,7 @@
 #include <string>
 #include <string_view>
 
-#include "handover/said.hpp"
+#include "handover/server_overrides.hpp"
 #include "sidecar/loop.hpp"
 
 namespace rackroute::sidecar {
@@ -70,7 +70,7 @@
   void listen();
   void accept(Poco::Net::ReadableNotification* event);
   bool saveOverrides();
-  void apply(ServerId server, handover::Word entry);
+  void apply(ServerId server, handover::ServerOverride entry);
   void sendState(HandoverPeer& peer);
   void yieldTo(HandoverPeer& peer);
   void peerEnded(HandoverPeer& peer);
@@ -96,7 +96,7 @@
   std::unique_ptr<Poco::Net::ServerSocket> listener_;
   std::map<HandoverPeer*, std::shared_ptr<HandoverPeer>> peers_;
   HandoverPeer* successor_ = nullptr;  // the peer that has reported ready
-  handover::Said overrides_;
+  handover::ServerOverrides overrides_;
   std::map<std::uint64_t, PendingChange> pendingChanges_;
   std::uint64_t lastSequence_ = 0;
   bool stopped_ = false;
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -24,7 +24,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "handover/learned.hpp"
+#include "handover/snapshot_text.hpp"
 #include "sidecar/admin_listener.hpp"
 #include "sidecar/client_listener.hpp"
 #include "sidecar/discovery.hpp"
@@ -36,7 +36,7 @@
 #include "sidecar/loop.hpp"
 #include "sidecar/server_pool.hpp"
 #include "sidecar/signals.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 namespace {
@@ -51,7 +51,7 @@
 constexpr std::size_t kAdminDescriptors = 56;        // reserved for the admin listener and the program itself
 constexpr std::size_t kFleetDescriptors = 40;        // reserved for the fleet's sockets and exchanges
 
-void flatten(const std::string& path, const Var& value, told::Pairs& settingPairs) {
+void flatten(const std::string& path, const Var& value, settings::KeyValues& settingPairs) {
   if (value.isEmpty()) return;
   if (value.type() == typeid(Object::Ptr)) {
     for (const auto& [name, inner] : *value.extract<Object::Ptr>())
@@ -78,7 +78,7 @@
   std::string listen;
   Poco::Net::SocketAddress discovery;
   std::uint64_t seed = 0;
-  told::Pairs settingPairs;
+  settings::KeyValues settingPairs;
   std::optional<rlim_t> descriptors;
   std::optional<std::uint64_t> memoryMegabytes;
   std::optional<Poco::Net::SocketAddress> admin;
@@ -104,7 +104,7 @@
   config.discovery = numericAddress(required(*document, "discovery").convert<std::string>());
   const auto seed = required(*document, "seed").convert<std::string>();
   const auto read = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
-  if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size()) told::malformed("seed", seed);
+  if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size()) settings::throwMalformed("seed", seed);
   flatten("", required(*document, "settings"), config.settingPairs);
   if (const auto limits = document->getObject("limits"); limits && limits->has("sockets"))
     config.descriptors = limits->getValue<std::uint32_t>("sockets");
@@ -158,7 +158,7 @@
             bool shared) {
   try {
     Configuration updated = readConfiguration();
-    const told::Told checkedSettings(updated.seed, updated.settingPairs);
+    const settings::ParsedSettings checkedSettings(updated.seed, updated.settingPairs);
     limitDescriptors(updated, clients, servers, shared);
     discovery.moveTo(updated.discovery);
     std::string needsRestart;
@@ -179,7 +179,7 @@
 }
 
 // Restores the old process's server list, unless the configuration has a newer one.
-void restoreState(const Object& state, Dispatcher& dispatcher, told::Names& zones, const Loop& loop,
+void restoreState(const Object& state, Dispatcher& dispatcher, settings::NameTable& zones, const Loop& loop,
                   ServerList& known, std::uint64_t& index) {
   try {
     const auto everListed = state.getArray("ever");
@@ -206,8 +206,8 @@
   // Ignores SIGHUP during startup; its default action would terminate the process.
   signals.on(SIGHUP, [] {});
   Configuration config = readConfiguration();
-  told::Told settings(config.seed, config.settingPairs);
-  settings.terms.discoveryOnRequest = true;  // this discovery service only answers requests
+  settings::ParsedSettings settings(config.seed, config.settingPairs);
+  settings.config.discoveryOnRequest = true;  // this discovery service only answers requests
 
   // Handover needs an admin address, which tells the two processes apart for operators.
   const char* const folder = std::getenv("TMPDIR");
@@ -232,7 +232,7 @@
   std::optional<FleetTransport> fleet;
   if (config.fleet) {
     fleet.emplace(loop, *config.fleet, config.seed, [&](std::uint32_t members) {
-      dispatcher.setBalancerCount(std::max(members, settings.terms.balancerCount));
+      dispatcher.setBalancerCount(std::max(members, settings.config.balancerCount));
     });
     admin.showFleet(*fleet);
     handover.setFleetHooks([&] { return fleet->state(); },
@@ -258,7 +258,7 @@
             : clients.listen(numericAddress(config.listen), config.admin.has_value());
   dispatcher.start(settings, clients, servers, discovery, known);
   if (inherited) {
-    if (const auto snapshot = handover::readLearned(inherited->state->optValue<std::string>("learned", "")))
+    if (const auto snapshot = handover::parseSnapshot(inherited->state->optValue<std::string>("learned", "")))
       dispatcher.restore(*snapshot);
   }
   // An old process that hangs or has resumed may hold the fleet address; this one starts nevertheless.
--- a/src/sidecar/server_pool.cpp
+++ b/src/sidecar/server_pool.cpp
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 using http::Message;
-using http::Progress;
+using http::ParseStatus;
 
 constexpr std::size_t kMaxBufferedBody = 64 * 1024;  // longer responses are streamed
 constexpr Span kStallTimeout = 10s;                  // without progress within a streamed body
@@ -32,7 +32,7 @@
   if (!report) return Span{0};
   try {
     const auto object = Poco::JSON::Parser().parse(std::string(*report)).extract<Poco::JSON::Object::Ptr>();
-    const std::string name(told::kServiceTime);
+    const std::string name(settings::kServiceTimeField);
     if (!object->has(name)) return Span{0};
     const double millis = object->getValue<double>(name);
     return millis > 0 && millis < 1e6 ? Span{static_cast<Span::rep>(millis * 1000)} : Span{0};
@@ -89,9 +89,9 @@
   /// Returns true when the sender should pause.
   bool bodyPart(std::string data, bool last) {
     if (!execution_ || !bodyStreaming_) return false;
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     if (query_->chunked() && !data.empty()) {
-      pieces.text(http::chunkHead(data.size()));
+      pieces.text(http::chunkHeader(data.size()));
       pieces.text(std::move(data));
       pieces.text("\r\n");
     } else {
@@ -127,17 +127,18 @@
   void received() override {
     while (execution_ && !ended()) {
       if (!response_) {
-        const Progress progress = reader_.readHead(in_);
-        if (progress == Progress::more) return;
-        if (progress != Progress::done) return end(CloseReason::badMessage);
+        const ParseStatus progress = reader_.readHead(in_);
+        if (progress == ParseStatus::needMore) return;
+        if (progress != ParseStatus::done) return end(CloseReason::badMessage);
         auto head = std::make_shared<Message>(reader_.takeHead(in_));
         if (head->status() < 200) continue;  // interim response; the final one follows
-        body_ = http::Body(*head, http::Reader::Kind::answer, http::kLongestStreamed);
+        body_ = http::BodyReader(*head, http::Reader::Kind::response, http::kMaxStreamedBodyBytes);
         response_ = std::move(head);
       }
-      const Progress progress = body_.read(in_, bufferedBody_);
-      if (progress != Progress::more && progress != Progress::done) return end(CloseReason::badMessage);
-      if (progress == Progress::done) return responseComplete(false);
+      const ParseStatus progress = body_.read(in_, bufferedBody_);
+      if (progress != ParseStatus::needMore && progress != ParseStatus::done)
+        return end(CloseReason::badMessage);
+      if (progress == ParseStatus::done) return responseComplete(false);
       if (!responseStreaming_) {
         // Streams the response once it exceeds the buffer limit, or its length tells that it will.
         if (std::max(bufferedBody_.size(), response_->length().value_or(0)) <= kMaxBufferedBody ||
@@ -195,12 +196,12 @@
     const bool streaming = std::exchange(responseStreaming_, false);
     const bool known = isKnownStatus(response->status());
     const bool reusable =
-        !closed && known && response->keepsOpen() && in_.empty() && allWritten() && !bodyStreaming_;
+        !closed && known && response->keepsAlive() && in_.empty() && allWritten() && !bodyStreaming_;
     const ExecutionKey execution = releaseExecution();
     if (streaming) {
       if (!bufferedBody_.empty()) pool_.dispatcher_.responsePart(execution, std::exchange(bufferedBody_, {}));
     } else {
-      response->giveBody(std::exchange(bufferedBody_, {}));
+      response->setBody(std::exchange(bufferedBody_, {}));
     }
     if (reusable) {
       returnToPool();
@@ -214,13 +215,13 @@
   void sendQuery() {
     headSent_ = true;
     fullyWritten_ = false;
-    http::Gather pieces;
+    http::GatherBuffer pieces;
     pieces.keep(query_);
-    pieces.view(query_->word(0));
+    pieces.view(query_->startLinePart(0));
     pieces.text(" ");
-    pieces.view(query_->word(1));
+    pieces.view(query_->startLinePart(1));
     pieces.text(" HTTP/1.1\r\n");
-    for (const std::string_view lines : query_->endToEnd("X-Deadline-Ms")) pieces.view(lines);
+    for (const std::string_view lines : query_->endToEndFields("X-Deadline-Ms")) pieces.view(lines);
     const Span left = deadline_ > Span{0} ? deadline_ - loop_.now() : timeout_;
     std::string rest = "X-Deadline-Ms: " + std::to_string(std::max<Span::rep>(left / 1ms, 1)) + "\r\n";
     const std::string_view body = query_->body();
@@ -228,7 +229,7 @@
     if (bodySeparate) {
       rest += query_->chunked() ? "Transfer-Encoding: chunked\r\n"
                                 : "Content-Length: " + std::to_string(query_->length().value_or(0)) + "\r\n";
-    } else if (!body.empty() || query_->word(0) != "GET") {
+    } else if (!body.empty() || query_->startLinePart(0) != "GET") {
       rest += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     }
     pieces.text(rest + "\r\n");
@@ -259,11 +260,11 @@
   ServerPool& pool_;
   ServerId server_;
   Poco::Net::SocketAddress address_;
-  http::Reader reader_{http::Reader::Kind::answer, http::kLongestStreamed};
+  http::Reader reader_{http::Reader::Kind::response, http::kMaxStreamedBodyBytes};
   std::shared_ptr<Message> response_;  // its head, while the body is being received
-  http::Body body_;
-  std::string bufferedBody_;  // of the response
-  http::Gather earlyBody_;    // part of the query's body received before its head was sent
+  http::BodyReader body_;
+  std::string bufferedBody_;      // of the response
+  http::GatherBuffer earlyBody_;  // part of the query's body received before its head was sent
   bool responseStreaming_ = false;
   bool bodyStreaming_ = false;  // the query's body is not complete yet
   Span timeout_{};
@@ -277,7 +278,7 @@
   bool fullyWritten_ = false;
 };
 
-ServerPool::ServerPool(Loop& loop, Dispatcher& dispatcher, const told::Told& settings)
+ServerPool::ServerPool(Loop& loop, Dispatcher& dispatcher, const settings::ParsedSettings& settings)
     : loop_(loop),
       dispatcher_(dispatcher),
       dialTimeout_(settings.dialTimeout),
--- a/src/sidecar/server_pool.hpp
+++ b/src/sidecar/server_pool.hpp
@@ -17,7 +17,7 @@
 #include "http/message.hpp"
 #include "rackroute/balancer.hpp"
 #include "sidecar/loop.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::sidecar {
 
@@ -33,7 +33,7 @@
 
 class ServerPool {
  public:
-  ServerPool(Loop& loop, Dispatcher& dispatcher, const told::Told& settings);
+  ServerPool(Loop& loop, Dispatcher& dispatcher, const settings::ParsedSettings& settings);
   ServerPool(const ServerPool&) = delete;
   ServerPool& operator=(const ServerPool&) = delete;
   ~ServerPool();
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -17,7 +17,7 @@
       ++number;
       if (session.read(line)) std::cout << session.takeReply() << std::flush;
     }
-    if (!session.betweenBatches()) throw rackroute::simwire::Malformed("input ends within a batch");
+    if (!session.betweenBatches()) throw rackroute::simwire::MalformedValue("input ends within a batch");
   } catch (const std::exception& error) {
     std::cerr << "line " << number << ": " << error.what() << '\n';
     return 1;
--- a/src/simwire/session.cpp
+++ b/src/simwire/session.cpp
@@ -5,13 +5,13 @@
 #include <unordered_map>
 #include <utility>
 
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 namespace rackroute::simwire {
 namespace {
 
-using told::malformed;
-using told::micros;
+using settings::microsFromMillis;
+using settings::throwMalformed;
 
 constexpr std::size_t kListSlots = 16;
 
@@ -19,12 +19,12 @@
 Number parseNumber(std::string_view text, std::string_view what) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size()) malformed(what, text);
+  if (error != std::errc{} || end != text.data() + text.size()) throwMalformed(what, text);
   return value;
 }
 
 bool parseFlag(std::string_view text, std::string_view what) {
-  if (text != "0" && text != "1") malformed(what, text);
+  if (text != "0" && text != "1") throwMalformed(what, text);
   return text == "1";
 }
 
@@ -46,11 +46,11 @@
   out += std::to_string(magnitude / 1000) + '.' + std::string(3 - fraction.size(), '0') + fraction;
 }
 
-told::Pairs parseSettings(const std::vector<std::string_view>& parts, std::size_t from) {
-  told::Pairs result;
+settings::KeyValues parseSettings(const std::vector<std::string_view>& parts, std::size_t from) {
+  settings::KeyValues result;
   for (std::size_t i = from; i < parts.size(); ++i) {
     const std::size_t at = parts[i].find('=');
-    if (at == std::string_view::npos) malformed("setting without a value", parts[i]);
+    if (at == std::string_view::npos) throwMalformed("setting without a value", parts[i]);
     result.insert_or_assign(std::string(parts[i].substr(0, at)), std::string(parts[i].substr(at + 1)));
   }
   return result;
@@ -62,7 +62,7 @@
   for (const auto& [name, value] : names) {
     if (name == text) return value;
   }
-  malformed(what, text);
+  throwMalformed(what, text);
 }
 
 // A time in a load report of the form name:value,name:value; 0 if the name is missing.
@@ -70,8 +70,8 @@
   while (!report.empty() && report != "-") {
     const std::string_view pair = report.substr(0, report.find(','));
     const std::size_t colon = pair.find(':');
-    if (colon == std::string_view::npos) malformed("load", pair);
-    if (pair.substr(0, colon) == name) return Span{micros(pair.substr(colon + 1), name)};
+    if (colon == std::string_view::npos) throwMalformed("load", pair);
+    if (pair.substr(0, colon) == name) return Span{microsFromMillis(pair.substr(colon + 1), name)};
     report.remove_prefix(std::min(report.size(), pair.size() + 1));
   }
   return Span{0};
@@ -94,10 +94,10 @@
 /// One balancer instance, which writes its actions to the reply.
 class Instance : public BalancerHost {
  public:
-  Instance(std::string_view name, std::uint64_t seed, const told::Pairs& pairs, std::int64_t clock,
+  Instance(std::string_view name, std::uint64_t seed, const settings::KeyValues& pairs, std::int64_t clock,
            std::string& reply)
       : instanceId_(name), start_(clock), reply_(reply), settings_(seed, pairs) {
-    balancer_ = std::make_unique<Balancer>(settings_.terms, *this);
+    balancer_ = std::make_unique<Balancer>(settings_.config, *this);
   }
 
   void execute(QueryId query, ServerId server, Span timeout) override {
@@ -143,7 +143,7 @@
   Balancer& balancer() { return *balancer_; }
   ZoneId zone(std::string_view name) { return {settings_.zones.id(name)}; }
   ServerId server(const std::string& name) {
-    const ServerId id = told::serverId(name);
+    const ServerId id = settings::serverId(name);
     servers_.emplace(id.value, name);
     return id;
   }
@@ -151,17 +151,17 @@
   void submit(const std::vector<std::string_view>& parts, Span at) {
     Query query;
     query.id = {parseNumber<std::uint32_t>(parts[2], "op_id")};
-    query.timeLeft = Span{micros(parts[3], "expires_in_ms")};
-    query.useCase = {settings_.useCases.known(parts[4], "profile")};
+    query.timeLeft = Span{microsFromMillis(parts[3], "expires_in_ms")};
+    query.useCase = {settings_.useCases.idOf(parts[4], "profile")};
     if (parts[5] != "-" && !parts[5].empty()) {
       std::uint64_t key{};
       const auto end = std::from_chars(parts[5].data(), parts[5].data() + parts[5].size(), key, 16);
       if (end.ec != std::errc{} || end.ptr != parts[5].data() + parts[5].size())
-        malformed("path_key", parts[5]);
+        throwMalformed("path_key", parts[5]);
       query.key = KeyId{key};
     }
     if (!settings_.accounts.empty() && parts[6] != "-" && parts[6] != "0")
-      query.account = {settings_.accounts.known(parts[6], "user_group")};
+      query.account = {settings_.accounts.idOf(parts[6], "user_group")};
     queries_.insert_or_assign(query.id.value, balancer_->submit(at, query));
     eraseFinished();
   }
@@ -169,7 +169,7 @@
     const ExecutionNo no{parseNumber<std::uint32_t>(parts[3], "send_no")};
     const Outcome outcome = parseOutcome(parts[5]);
     const bool terminal = parseFlag(parts[7], "terminal");
-    const Span service = reportedTime(parts[8], told::kServiceTime);
+    const Span service = reportedTime(parts[8], settings::kServiceTimeField);
     withQuery(parts[2],
               [&](QueryHandle& query) { query.executionEnded(at, no, outcome, terminal, service); });
   }
@@ -213,7 +213,7 @@
   std::string instanceId_;
   std::int64_t start_;
   std::string& reply_;
-  told::Told settings_;
+  settings::ParsedSettings settings_;
   std::unordered_map<std::uint64_t, std::string> servers_;
   std::unordered_map<std::uint32_t, QueryHandle> queries_;
   std::vector<QueryId> answeredQueries_;
@@ -233,14 +233,14 @@
   split(line, '\t', parts_);
   const std::string_view name = parts_.front();
   if (name == "BEGIN_BATCH") {
-    if (inBatch_ || parts_.size() < 2) malformed("invalid start of a batch", line);
-    clock_ = micros(parts_[1], "clock");
+    if (inBatch_ || parts_.size() < 2) throwMalformed("invalid start of a batch", line);
+    clock_ = microsFromMillis(parts_[1], "clock");
     inBatch_ = true;
     return false;
   }
-  if (!inBatch_) malformed("event outside a batch", name);
+  if (!inBatch_) throwMalformed("event outside a batch", name);
   if (entriesRemaining_ > 0) {
-    if (name != "SERVER") malformed("expected a list entry instead of", name);
+    if (name != "SERVER") throwMalformed("expected a list entry instead of", name);
     entry(parts_);
     return false;
   }
@@ -260,8 +260,8 @@
       {"TIMEOUT_FIRED", 3}};
   const std::string_view name = parts.front();
   const auto known = fields.find(name);
-  if (known == fields.end()) malformed("unknown message", name);
-  if (parts.size() < known->second) malformed("missing field in message", name);
+  if (known == fields.end()) throwMalformed("unknown message", name);
+  if (parts.size() < known->second) throwMalformed("missing field in message", name);
   if (name == "START") return start(parts);
   if (name == "DEFINE_LIST") return defineList(parts);
   if (name == "RETIRE") {
@@ -290,7 +290,7 @@
                                                            {"Complete", ServerListKind::complete},
                                                            {"Persisted", ServerListKind::persisted}});
     const auto slot = parseNumber<std::size_t>(parts[4], "slot");
-    if (slot >= kListSlots) malformed("slot", parts[4]);
+    if (slot >= kListSlots) throwMalformed("slot", parts[4]);
     std::vector<ListedServer> servers;
     for (const Entry& listed : lists_[slot]) {
       ListedServer server;
@@ -315,20 +315,20 @@
 
 void Session::defineList(const std::vector<std::string_view>& parts) {
   slot_ = parseNumber<std::size_t>(parts[1], "slot");
-  if (slot_ >= kListSlots) malformed("slot", parts[1]);
+  if (slot_ >= kListSlots) throwMalformed("slot", parts[1]);
   lists_[slot_].clear();
   entriesRemaining_ = parseNumber<std::size_t>(parts[2], "number of entries");
 }
 
 void Session::entry(const std::vector<std::string_view>& parts) {
-  if (parts.size() < 8) malformed("missing field in list entry", parts.front());
+  if (parts.size() < 8) throwMalformed("missing field in list entry", parts.front());
   Entry result;
   result.lifecycle = parseName<Lifecycle>(
       parts[2], "lifecycle",
       {{"SERVING", Lifecycle::serving}, {"DRAINING", Lifecycle::draining}, {"DELETED", Lifecycle::removed}});
   result.zone = parts[3];
   result.size = parts[4] == "-" ? 1.0 : parseNumber<double>(parts[4], "share");
-  result.since = parts[5] == "-" ? 0 : micros(parts[5], "since_ms");
+  result.since = parts[5] == "-" ? 0 : microsFromMillis(parts[5], "since_ms");
   result.cell = parts[6] == "-" ? 0 : parseNumber<std::int64_t>(parts[6], "cell");
   result.name = parts[7];
   lists_[slot_].push_back(std::move(result));
--- a/tests/listed_load_test.cpp
+++ b/tests/listed_load_test.cpp
@@ -1,6 +1,6 @@
 // Balancers whose server lists report load, and the failure of a whole zone.
 #include "balancer_fixture.hpp"
-#include "terms/told.hpp"
+#include "terms/balancer_settings.hpp"
 
 using namespace rackroute;
 using namespace rackroute::fixture;
@@ -24,11 +24,11 @@
 TEST_CASE(
     "live weights do not change a server's size; without the setting weights are sizes, as with rough") {
   const auto share = [](const char* weights) {
-    told::Pairs pairs{{"use_cases.count", "1"}, {"use_cases.0.effect", "retryable"},
-                      {"peers_total", "1"},     {"my_number", "0"},
-                      {"locality", "a"},        {"use_cases.0.slo_time_ms", "500"}};
+    settings::KeyValues pairs{{"use_cases.count", "1"}, {"use_cases.0.effect", "retryable"},
+                              {"peers_total", "1"},     {"my_number", "0"},
+                              {"locality", "a"},        {"use_cases.0.slo_time_ms", "500"}};
     if (weights != nullptr) pairs["weights"] = weights;
-    FakeFleet fleet(told::Told(7, pairs).terms);
+    FakeFleet fleet(settings::ParsedSettings(7, pairs).config);
     fleet.updateList(ServerListKind::persisted, {withWeight(1, 1), withWeight(2, 1)});
     fleet.updateList(ServerListKind::changes, {withWeight(1, 0.1)});
     return fleet.countSentTo({1}, 400, kIdempotent);
@@ -36,7 +36,7 @@
   CHECK(share(nullptr) < 60);
   CHECK(share("rough") == share(nullptr));
   CHECK(share("live") > 70);
-  CHECK_THROWS_AS(share("heavy"), told::Malformed);
+  CHECK_THROWS_AS(share("heavy"), settings::MalformedValue);
 }
 
 TEST_CASE("a server that was disabled before it was first listed gets its listed weight") {
