--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -5,20 +5,20 @@
 #include <cstdio>
 #include <utility>
 
-#include "lab/draws.hpp"
+#include "lab/random.hpp"
 
 namespace rackroute::lab {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostBreaches = 50;  // told in full; the rest are counted
-constexpr Span kRemembered = 120s;         // an effect; far beyond any window and any client's retries
-constexpr Span kAtOnce = 20ms;             // from giving up to the answer; the wire's own slack
-constexpr std::uint32_t kThrownAway =
-    20;                                 // queries given up in a row with nothing sent; no chance makes that
-constexpr double kToldShare = 2.0 / 3;  // of the work, from those that knew; the rule's own figure
-constexpr Span kTelling = 1ms;          // two things at one moment may be told in either order
+constexpr std::size_t kMaxBreachDetails = 50;     // further breaches are only counted
+constexpr Span kEffectRetention = 120s;           // exceeds all deduplication windows and client retries
+constexpr Span kPromptAnswer = 20ms;              // from giving up to the answer
+constexpr std::uint32_t kMaxRejectedUnsent = 20;  // consecutive queries given up without an execution
+constexpr double kInformedShare =
+    2.0 / 3;                         // share of the work that comes from balancers that know of the start
+constexpr Span kSimultaneous = 1ms;  // events this close may be reported in either order
 
 std::string text(Span at) {
   std::array<char, 32> buffer{};
@@ -32,7 +32,7 @@
   return names.at(static_cast<std::size_t>(outcome));
 }
 
-bool neverRan(Outcome outcome) {
+bool neverExecuted(Outcome outcome) {
   return outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::invalidQuery;
 }
 
@@ -47,52 +47,53 @@
   return names.at(static_cast<std::size_t>(rule));
 }
 
-void Audit::say(Open& open, Span now, std::string what) const {
-  open.story.emplace_back(now, std::move(what));
+void Audit::record(OpenQuery& open, Span now, std::string what) const {
+  open.timeline.emplace_back(now, std::move(what));
 }
 
 void Audit::breach(Rule rule, Span now, std::string subject, std::vector<std::string> timeline) {
   ++count_;
-  if (breaches_.size() < kMostBreaches)
+  if (breaches_.size() < kMaxBreachDetails)
     breaches_.push_back({rule, std::move(subject), now, std::move(timeline)});
 }
 
-void Audit::breach(Rule rule, Span now, QueryNo query, const std::string& why) {
-  const Open& open = open_.at(query);
+void Audit::breach(Rule rule, Span now, QueryNumber query, const std::string& why) {
+  const OpenQuery& open = open_.at(query);
   std::vector<std::string> lines;
-  for (const auto& [at, what] : open.story) lines.push_back(text(at) + "  " + what);
+  for (const auto& [at, what] : open.timeline) lines.push_back(text(at) + "  " + what);
   lines.push_back(text(now) + "  BROKEN: " + why);
   breach(rule, now, "query " + std::to_string(query) + " at balancer " + std::to_string(open.at), lines);
 }
 
-void Audit::taken(Span now, QueryNo query, BalancerNo at, UseCaseId useCase, Span deadline, std::uint64_t) {
+void Audit::queryReceived(Span now, QueryNumber query, BalancerIndex at, UseCaseId useCase, Span deadline,
+                          std::uint64_t) {
   ++judged_;
-  Open& open = open_[query];
+  OpenQuery& open = open_[query];
   open.at = at;
   open.useCase = useCase;
-  open.taken = now;
+  open.receivedAt = now;
   open.deadline = deadline;
-  say(open, now,
-      "taken, use case " + std::to_string(useCase.value) + ", its client waits until" + text(deadline));
+  record(open, now,
+         "received, use case " + std::to_string(useCase.value) + ", client deadline" + text(deadline));
 }
 
-void Audit::sent(Span now, QueryNo query, std::uint32_t no, ServerId server, ZoneId zone, CellId cell) {
+void Audit::sent(Span now, QueryNumber query, std::uint32_t no, ServerId server, ZoneId zone, CellId cell) {
   const auto at = open_.find(query);
   if (at == open_.end()) {
     return breach(Rule::oneAnswer, now, "query " + std::to_string(query),
-                  {text(now) + "  BROKEN: sent to " + serverName(server) + " after it was over"});
+                  {text(now) + "  BROKEN: sent to " + serverName(server) + " after the query had ended"});
   }
-  Open& open = at->second;
-  say(open, now, "execution " + std::to_string(no) + " to " + serverName(server));
+  OpenQuery& open = at->second;
+  record(open, now, "execution " + std::to_string(no) + " to " + serverName(server));
   lists_[open.at].sentSince = true;
-  lists_[open.at].givenUpUnsent = 0;
-  if (open.over && now > *open.over + kTelling)
-    breach(Rule::oneAnswer, now, query, "sent after its end at" + text(*open.over));
-  // Rule 2, by the wire's words: by what may have run before.
-  const UseCase& use = measures_.useCases[open.useCase.value];
+  lists_[open.at].rejectedUnsent = 0;
+  if (open.over && now > *open.over + kSimultaneous)
+    breach(Rule::oneAnswer, now, query, "sent after the query ended at" + text(*open.over));
+  // Rule 2: depends on which earlier executions may have run.
+  const UseCase& use = limits_.useCases[open.useCase.value];
   for (const Sent& before : open.sent) {
-    if (before.out) {
-      breach(Rule::noEffectTwice, now, query, "sent while an earlier execution is out");
+    if (before.inFlight) {
+      breach(Rule::noEffectTwice, now, query, "sent while an earlier execution is in flight");
       break;
     }
     if (!before.mayHaveRun || use.retrySafety == RetrySafety::idempotent) continue;
@@ -102,112 +103,116 @@
     }
     const bool grouped = use.dedupScope == DedupScope::all ||
                          (use.dedupScope == DedupScope::zone ? zone == before.zone : cell == before.cell);
-    if (!grouped) breach(Rule::noEffectTwice, now, query, "repeated at servers that do not discard it");
-    if (now > before.at + use.dedupWindow + measures_.lag)
-      breach(Rule::noEffectTwice, now, query, "repeated after the window of the first that may have run");
-    break;  // the first that may have run tells
+    if (!grouped) breach(Rule::noEffectTwice, now, query, "repeated at servers that do not deduplicate it");
+    if (now > before.at + use.dedupWindow + limits_.lag)
+      breach(Rule::noEffectTwice, now, query,
+             "repeated after the deduplication window of the first execution that may have run");
+    break;  // only the first execution that may have run matters
   }
   open.sent.push_back({server, zone, cell, now});
-  // Rule 3.
-  const auto list = closed_.find(open.at);
-  if (list == closed_.end()) return;
-  const auto closed = list->second.find(server);
-  if (closed == list->second.end()) return;
+  // Rule 3: no executions to a draining or removed server after the grace period.
+  const auto list = notServingSince_.find(open.at);
+  if (list == notServingSince_.end()) return;
+  const auto notice = list->second.find(server);
+  if (notice == list->second.end()) return;
   Span& latest = drains_[server];
-  latest = std::max(latest, now - closed->second);
-  if (now <= closed->second + measures_.drainGrace + measures_.lag) return;
-  say(open, closed->second, "told that " + serverName(server) + " drains or is gone");
-  breach(Rule::drainKept, now, query, "sent later than the grace after that");
+  latest = std::max(latest, now - notice->second);
+  if (now <= notice->second + limits_.drainGrace + limits_.lag) return;
+  record(open, notice->second, "notified that " + serverName(server) + " is draining or removed");
+  breach(Rule::drainKept, now, query, "sent after the drain grace period");
 }
 
-void Audit::ended(Span now, QueryNo query, std::uint32_t no, Outcome outcome) {
+void Audit::ended(Span now, QueryNumber query, std::uint32_t no, Outcome outcome) {
   const auto at = open_.find(query);
   if (at == open_.end() || no >= at->second.sent.size()) return;
   Sent& sent = at->second.sent[no];
-  sent.out = false;
-  sent.mayHaveRun = !neverRan(outcome);
+  sent.inFlight = false;
+  sent.mayHaveRun = !neverExecuted(outcome);
   at->second.lastEnd = now;
-  say(at->second, now, "execution " + std::to_string(no) + " ended: " + std::string(nameOf(outcome)));
-  settle(query);
+  record(at->second, now, "execution " + std::to_string(no) + " ended: " + std::string(nameOf(outcome)));
+  eraseIfDone(query);
 }
 
-void Audit::gaveUp(Span now, QueryNo query) {
+void Audit::gaveUp(Span now, QueryNumber query) {
   const auto at = open_.find(query);
   if (at == open_.end()) return;
-  Open& open = at->second;
-  say(open, now, "given up");
+  OpenQuery& open = at->second;
+  record(open, now, "given up");
   if (!open.gaveUp) open.gaveUp = now;
-  // While the list may be doubted, the servers that were good before are still to be used.
+  // While the list is unreliable, previously serving servers must still be used.
   ListWatch& list = lists_[open.at];
-  if (open.sent.empty() && now <= list.until && ++list.givenUpUnsent >= kThrownAway && !list.sentSince &&
-      !std::exchange(list.broken, true))
-    breach(
-        Rule::listKept, now, query,
-        "the " + std::to_string(kThrownAway) + "th in a row given up with nothing sent, on a doubtful list");
+  if (open.sent.empty() && now <= list.until && ++list.rejectedUnsent >= kMaxRejectedUnsent &&
+      !list.sentSince && !std::exchange(list.broken, true))
+    breach(Rule::listKept, now, query,
+           "the " + std::to_string(kMaxRejectedUnsent) +
+               "th consecutive query given up without an execution, on an unreliable list");
 }
 
-void Audit::answered(Span now, QueryNo query, Answer answer) {
+void Audit::answered(Span now, QueryNumber query, Answer answer) {
   const auto at = open_.find(query);
   if (at == open_.end()) {
     return breach(Rule::oneAnswer, now, "query " + std::to_string(query),
-                  {text(now) + "  BROKEN: answered after it was over"});
+                  {text(now) + "  BROKEN: answered after the query had ended"});
   }
-  Open& open = at->second;
-  say(open, now,
-      answer == Answer::completed  ? "completed"
-      : answer == Answer::rejected ? "rejected"
-                                   : "aborted");
+  OpenQuery& open = at->second;
+  record(open, now,
+         answer == Answer::completed  ? "completed"
+         : answer == Answer::rejected ? "rejected"
+                                      : "aborted");
   if (open.answered) breach(Rule::oneAnswer, now, query, "a second final answer");
-  if (now > open.deadline + measures_.answerSlack + measures_.lag)
-    breach(Rule::oneAnswer, now, query, "later than its client's time and the slack");
-  if (open.gaveUp && now > *open.gaveUp + kAtOnce + measures_.lag)
-    breach(Rule::answeredAtOnce, now, query, "held after it was given up");
-  const UseCase& use = measures_.useCases[open.useCase.value];
-  const bool nothingOut =
-      std::none_of(open.sent.begin(), open.sent.end(), [](const Sent& s) { return s.out; });
-  // Nobody waits for room beyond the SLO time: what has nothing out then was given up before.
-  if (answer != Answer::completed && nothingOut &&
-      now > std::max(open.taken + use.sloTime, open.lastEnd) + kAtOnce + measures_.lag)
-    breach(Rule::answeredAtOnce, now, query, "held with nothing out, past its SLO time");
+  if (now > open.deadline + limits_.answerSlack + limits_.lag)
+    breach(Rule::oneAnswer, now, query, "later than the client deadline and the slack");
+  if (open.gaveUp && now > *open.gaveUp + kPromptAnswer + limits_.lag)
+    breach(Rule::answeredAtOnce, now, query, "answer delayed after the query was given up");
+  const UseCase& use = limits_.useCases[open.useCase.value];
+  const bool noneInFlight =
+      std::none_of(open.sent.begin(), open.sent.end(), [](const Sent& s) { return s.inFlight; });
+  // Queries do not queue beyond the SLO time: without an execution in flight they count as given up.
+  if (answer != Answer::completed && noneInFlight &&
+      now > std::max(open.receivedAt + use.sloTime, open.lastEnd) + kPromptAnswer + limits_.lag)
+    breach(Rule::answeredAtOnce, now, query,
+           "answer delayed beyond the SLO time with no execution in flight");
   const bool mayHaveRun =
       std::any_of(open.sent.begin(), open.sent.end(), [](const Sent& s) { return s.mayHaveRun; });
   const bool harmless = use.retrySafety == RetrySafety::idempotent ||
                         (use.retrySafety == RetrySafety::deduplicated && use.dedupScope == DedupScope::all);
   if (answer == Answer::rejected && mayHaveRun && !harmless)
     breach(Rule::noEffectTwice, now, query,
-           "rejected, which calls a repeat harmless, though it may have run");
+           "rejected, which permits a retry, although an execution may have run");
   open.answered = true;
   open.over = now;
-  settle(query);
+  eraseIfDone(query);
 }
 
-void Audit::clientLeft(Span now, QueryNo query) {
+void Audit::clientLeft(Span now, QueryNumber query) {
   const auto at = open_.find(query);
   if (at == open_.end()) return;
-  say(at->second, now, "its client left");
-  if (!at->second.over && now > at->second.deadline + measures_.answerSlack + measures_.lag)
-    breach(Rule::oneAnswer, now, query, "no answer when its client's time and the slack were up");
+  record(at->second, now, "client left");
+  if (!at->second.over && now > at->second.deadline + limits_.answerSlack + limits_.lag)
+    breach(Rule::oneAnswer, now, query, "no answer until the client deadline and the slack");
   at->second.over = now;
-  settle(query);
+  eraseIfDone(query);
 }
 
-void Audit::settle(QueryNo query) {
+void Audit::eraseIfDone(QueryNumber query) {
   const auto at = open_.find(query);
   if (!at->second.over) return;
-  if (std::none_of(at->second.sent.begin(), at->second.sent.end(), [](const Sent& s) { return s.out; }))
+  if (std::none_of(at->second.sent.begin(), at->second.sent.end(), [](const Sent& s) { return s.inFlight; }))
     open_.erase(at);
 }
 
-void Audit::effect(Span now, QueryNo query, std::uint64_t mark, RetrySafety repeat, ServerId server) {
+void Audit::effect(Span now, QueryNumber query, std::uint64_t dedupKey, RetrySafety repeat, ServerId server) {
   if (repeat == RetrySafety::idempotent) return;
-  while (!effectOrder_.empty() && effectOrder_.front().first + kRemembered < now) {
+  while (!effectOrder_.empty() && effectOrder_.front().first + kEffectRetention < now) {
     effects_.erase(effectOrder_.front().second);
     effectOrder_.pop_front();
   }
-  auto& [times, story] = effects_[mark];
-  if (times == 0) effectOrder_.emplace_back(now, mark);
-  story.push_back(text(now) + "  query " + std::to_string(query) + " took effect at " + serverName(server));
-  if (++times > 1) breach(Rule::noEffectTwice, now, "mark " + std::to_string(mark), story);
+  auto& [times, timeline] = effects_[dedupKey];
+  if (times == 0) effectOrder_.emplace_back(now, dedupKey);
+  timeline.push_back(text(now) + "  query " + std::to_string(query) + " took effect at " +
+                     serverName(server));
+  if (++times > 1)
+    breach(Rule::noEffectTwice, now, "deduplication key " + std::to_string(dedupKey), timeline);
 }
 
 void Audit::started(Span now, ServerId server, double fullCapacity) {
@@ -215,75 +220,76 @@
   watch = {};
   watch.startedAt = now;
   watch.capacity = fullCapacity;
-  watch.cold = measures_.coldTime > Span{0} && measures_.overloadMultiple > 0;
+  watch.cold = limits_.coldTime > Span{0} && limits_.overloadMultiple > 0;
 }
 
 void Audit::stopped(Span, ServerId server) {
   const auto at = servers_.find(server.value);
   if (at == servers_.end()) return;
-  warm(server, at->second);
+  endColdStart(server, at->second);
   servers_.erase(at);
 }
 
-void Audit::warm(ServerId server, ServerWatch& watch) {
+void Audit::endColdStart(ServerId server, ServerWatch& watch) {
   if (!std::exchange(watch.cold, false)) return;
   coldPeaks_.push_back({server, watch.startedAt, watch.peak});
-  watch.pressed.clear();
+  watch.arrivals.clear();
 }
 
-// What may have come within the last window: the multiple of what it could do in it.
-double Audit::allowed(const ServerWatch& watch, Span now) const {
-  const auto warmth = [&](Span at) {
-    const double age = std::max(0.0, seconds(at - watch.startedAt)) / seconds(measures_.coldTime);
-    return std::min(1.0, measures_.coldShare + (1 - measures_.coldShare) * age);
+// Maximum work within one window: a multiple of the capacity over that window.
+double Audit::coldLimit(const ServerWatch& watch, Span now) const {
+  const auto warmFraction = [&](Span at) {
+    const double age = std::max(0.0, seconds(at - watch.startedAt)) / seconds(limits_.coldTime);
+    return std::min(1.0, limits_.coldShare + (1 - limits_.coldShare) * age);
   };
-  return measures_.overloadMultiple * watch.capacity * warmth(now) * seconds(measures_.overloadWindow);
+  return limits_.overloadMultiple * watch.capacity * warmFraction(now) * seconds(limits_.overloadWindow);
 }
 
-void Audit::pressed(Span now, ServerId server, BalancerNo from, double work) {
+void Audit::workReceived(Span now, ServerId server, BalancerIndex from, double work) {
   const auto at = servers_.find(server.value);
   if (at == servers_.end() || !at->second.cold) return;
   ServerWatch& watch = at->second;
-  if (now >= watch.startedAt + measures_.coldTime) return warm(server, watch);
-  const auto told = watch.toldStart.find(from);
-  watch.pressed.push_back({now, work, told != watch.toldStart.end()});
-  while (watch.pressed.front().at + measures_.overloadWindow < now) watch.pressed.pop_front();
+  if (now >= watch.startedAt + limits_.coldTime) return endColdStart(server, watch);
+  const auto informed = watch.startKnownAt.find(from);
+  watch.arrivals.push_back({now, work, informed != watch.startKnownAt.end()});
+  while (watch.arrivals.front().at + limits_.overloadWindow < now) watch.arrivals.pop_front();
   double sum = 0;
-  double byTold = 0;
-  for (const ServerWatch::Press& press : watch.pressed) {
-    sum += press.work;
-    byTold += press.byTold ? press.work : 0;
+  double fromInformed = 0;
+  for (const ServerWatch::Arrival& arrival : watch.arrivals) {
+    sum += arrival.work;
+    fromInformed += arrival.fromInformed ? arrival.work : 0;
   }
-  watch.peak = std::max(watch.peak, sum / allowed(watch, now));
-  if (sum <= allowed(watch, now) || byTold < kToldShare * sum) return;
+  watch.peak = std::max(watch.peak, sum / coldLimit(watch, now));
+  if (sum <= coldLimit(watch, now) || fromInformed < kInformedShare * sum) return;
   breach(Rule::coldStart, now, serverName(server),
          {text(watch.startedAt) + "  started cold",
-          text(watch.pressed.front().at) + "  first work in the window",
-          text(now) + "  BROKEN: " + std::to_string(sum) + " s of work came, " +
-              std::to_string(allowed(watch, now)) + " s is what it bears; " + std::to_string(byTold) +
-              " s of it from balancers that knew"});
-  warm(server, watch);  // it is down now
+          text(watch.arrivals.front().at) + "  first work in the window",
+          text(now) + "  BROKEN: " + std::to_string(sum) + " s of work arrived, " +
+              std::to_string(coldLimit(watch, now)) + " s is the overload limit; " +
+              std::to_string(fromInformed) + " s of it from balancers that know of the start"});
+  endColdStart(server, watch);  // the server has failed
 }
 
-void Audit::told(Span now, BalancerNo at, ServerId server, Lifecycle lifecycle, std::optional<Span> started) {
+void Audit::serverListed(Span now, BalancerIndex at, ServerId server, Lifecycle lifecycle,
+                         std::optional<Span> started) {
   if (lifecycle == Lifecycle::serving) {
-    closed_[at].erase(server);
+    notServingSince_[at].erase(server);
     const auto watch = servers_.find(server.value);
     if (watch != servers_.end() && started && *started == watch->second.startedAt)
-      watch->second.toldStart.try_emplace(at, now);
+      watch->second.startKnownAt.try_emplace(at, now);
   } else {
-    closed_[at].try_emplace(server, now);
+    notServingSince_[at].try_emplace(server, now);
   }
 }
 
-void Audit::doubtful(Span now, BalancerNo at, Span until) {
+void Audit::listUnreliable(Span now, BalancerIndex at, Span until) {
   ListWatch& list = lists_[at];
   if (now > list.until) list = {};
   list.until = std::max(list.until, until);
 }
 
-void Audit::ejected(Span now, BalancerNo at, PoolStatus before, PoolStatus after) {
-  if (after.ejected <= before.ejected || after.ejected <= measures_.mostEjected * after.pool) return;
+void Audit::ejected(Span now, BalancerIndex at, PoolStatus before, PoolStatus after) {
+  if (after.ejected <= before.ejected || after.ejected <= limits_.maxEjectedShare * after.pool) return;
   breach(
       Rule::capKept, now, "balancer " + std::to_string(at),
       {text(now) + "  before: " + std::to_string(before.ejected) + " of " + std::to_string(before.pool) +
@@ -292,16 +298,17 @@
 }
 
 void Audit::close(Span now) {
-  for (auto& [server, watch] : servers_) warm({server}, watch);
+  for (auto& [server, watch] : servers_) endColdStart({server}, watch);
   std::sort(coldPeaks_.begin(), coldPeaks_.end(), [](const ColdPeak& a, const ColdPeak& b) {
     return std::pair(a.startedAt, a.server) < std::pair(b.startedAt, b.server);
   });
-  std::vector<QueryNo> owed;
+  std::vector<QueryNumber> unanswered;
   for (const auto& [query, open] : open_) {
-    if (!open.over) owed.push_back(query);
+    if (!open.over) unanswered.push_back(query);
   }
-  std::sort(owed.begin(), owed.end());
-  for (const QueryNo query : owed) breach(Rule::oneAnswer, now, query, "the run is over and no answer came");
+  std::sort(unanswered.begin(), unanswered.end());
+  for (const QueryNumber query : unanswered)
+    breach(Rule::oneAnswer, now, query, "no answer until the end of the run");
 }
 
 }  // namespace rackroute::lab
--- a/src/lab/audit.hpp
+++ b/src/lab/audit.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-// The judge of a run: the four rules, and three promises of the design (a final answer is not held once the
-// query is given up, no good list is thrown away, no more than the capped share is ejected). It is told what
-// crossed between client, balancer, servers and discovery, and knows nothing of the module's code. It never
-// takes part in a run: the same run with and without it is the same.
+// Checks a run against the four rules and three further invariants: a final answer is sent promptly once the
+// query is given up, a good server list is not discarded, and no more than the capped share of servers is
+// ejected. The audit only observes the messages between clients, balancers, servers and discovery; it does
+// not depend on the module's code and does not influence the run.
 
 #include <cstdint>
 #include <deque>
@@ -27,13 +27,13 @@
 
 struct Breach {
   Rule rule = Rule::oneAnswer;
-  std::string subject;  // the query or the server
+  std::string subject;  // the query or server
   Span at{};
-  std::vector<std::string> timeline;  // what proves it
+  std::vector<std::string> timeline;  // the events that lead to it
 };
 
-/// The figures that the rules go by, and how much later than them a thing may come on this clock.
-struct Measures {
+/// Parameters of the rules, and the timing tolerance of the clock in use.
+struct AuditLimits {
   std::vector<UseCase> useCases;
   Span answerSlack{};
   Span drainGrace{};
@@ -41,54 +41,56 @@
   Span coldTime{};
   double overloadMultiple = 0;
   Span overloadWindow{};
-  double mostEjected = 0.5;  // of the pool; the design page's
-  Span lag{};                // more for each time limit; 0 in virtual time
+  double maxEjectedShare = 0.5;  // relative to the pool
+  Span lag{};                    // added to each time limit; 0 in virtual time
 };
 
-/// How much of its tipping budget a cold server was sent at most, in any one window.
+/// Peak work that a cold server received in a window, relative to its overload limit.
 struct ColdPeak {
   ServerId server;
   Span startedAt{};
   double share = 0;
 };
 
-using BalancerNo = std::uint32_t;
-/// One query at one balancer; unique in the run.
-using QueryNo = std::uint64_t;
+using BalancerIndex = std::uint32_t;
+/// Identifies a query at a balancer; unique in the run.
+using QueryNumber = std::uint64_t;
 
 class Audit {
  public:
-  explicit Audit(Measures measures) : measures_(std::move(measures)) {}
-
-  // ---- A query
-  void taken(Span now, QueryNo query, BalancerNo at, UseCaseId useCase, Span deadline, std::uint64_t mark);
-  void sent(Span now, QueryNo query, std::uint32_t no, ServerId server, ZoneId zone, CellId cell);
-  void ended(Span now, QueryNo query, std::uint32_t no, Outcome outcome);
-  /// The balancer gave it up; its answer is due at once.
-  void gaveUp(Span now, QueryNo query);
-  void answered(Span now, QueryNo query, Answer answer);
-  void clientLeft(Span now, QueryNo query);
-  /// An execution took effect at a server, whoever still waits for it.
-  void effect(Span now, QueryNo query, std::uint64_t mark, RetrySafety repeat, ServerId server);
+  explicit Audit(AuditLimits limits) : limits_(std::move(limits)) {}
+
+  // ---- Queries
+  void queryReceived(Span now, QueryNumber query, BalancerIndex at, UseCaseId useCase, Span deadline,
+                     std::uint64_t dedupKey);
+  void sent(Span now, QueryNumber query, std::uint32_t no, ServerId server, ZoneId zone, CellId cell);
+  void ended(Span now, QueryNumber query, std::uint32_t no, Outcome outcome);
+  /// The balancer gave the query up and has to answer promptly.
+  void gaveUp(Span now, QueryNumber query);
+  void answered(Span now, QueryNumber query, Answer answer);
+  void clientLeft(Span now, QueryNumber query);
+  /// An execution took effect at a server, even if nobody waits for it any more.
+  void effect(Span now, QueryNumber query, std::uint64_t dedupKey, RetrySafety repeat, ServerId server);
 
   // ---- Servers and lists
   void started(Span now, ServerId server, double fullCapacity);
   void stopped(Span now, ServerId server);
-  /// Work reached a server, in seconds of a standard core.
-  void pressed(Span now, ServerId server, BalancerNo from, double work);
-  /// A balancer was told of a server; started: when, if that was told.
-  void told(Span now, BalancerNo at, ServerId server, Lifecycle lifecycle, std::optional<Span> started);
-  /// A balancer's discovery failed, or told a list that lost over half of it at once while the servers serve.
-  void doubtful(Span now, BalancerNo at, Span until);
-  void ejected(Span now, BalancerNo at, PoolStatus before, PoolStatus after);
-
-  /// The run is over; what is still owed is a breach.
+  /// Work arrived at a server, in seconds of a standard core.
+  void workReceived(Span now, ServerId server, BalancerIndex from, double work);
+  /// A balancer received a list entry; started is the entry's start time, if present.
+  void serverListed(Span now, BalancerIndex at, ServerId server, Lifecycle lifecycle,
+                    std::optional<Span> started);
+  /// A balancer's discovery failed, or a new list dropped more than half of the serving servers at once.
+  void listUnreliable(Span now, BalancerIndex at, Span until);
+  void ejected(Span now, BalancerIndex at, PoolStatus before, PoolStatus after);
+
+  /// Ends the audit; queries without an answer are breaches.
   void close(Span now);
   [[nodiscard]] const std::vector<Breach>& breaches() const { return breaches_; }
   [[nodiscard]] std::uint64_t count() const { return count_; }
   [[nodiscard]] std::uint64_t judged() const { return judged_; }
   [[nodiscard]] const std::vector<ColdPeak>& coldPeaks() const { return coldPeaks_; }
-  /// By server that drained or went: how long after they were told a balancer still sent to it, at most.
+  /// By drained or removed server: the longest time after the notice at which a balancer still sent to it.
   [[nodiscard]] const std::map<ServerId, Span>& drains() const { return drains_; }
 
  private:
@@ -97,19 +99,19 @@
     ZoneId zone;
     CellId cell;
     Span at{};
-    bool out = true;
+    bool inFlight = true;
     bool mayHaveRun = true;
   };
-  struct Open {
-    BalancerNo at = 0;
+  struct OpenQuery {
+    BalancerIndex at = 0;
     UseCaseId useCase;
-    Span taken{};
+    Span receivedAt{};
     Span deadline{};
     std::vector<Sent> sent;
-    std::vector<std::pair<Span, std::string>> story;
+    std::vector<std::pair<Span, std::string>> timeline;
     std::optional<Span> gaveUp;
-    Span lastEnd{};            // of an execution
-    std::optional<Span> over;  // answered, or its client left
+    Span lastEnd{};            // of the last execution that ended
+    std::optional<Span> over;  // answered, or the client left
     bool answered = false;
   };
   struct ServerWatch {
@@ -117,35 +119,37 @@
     double capacity = 0;
     bool cold = false;
     double peak = 0;
-    struct Press {
+    struct Arrival {
       Span at;
       double work;
-      bool byTold;
+      bool fromInformed;
     };
-    std::deque<Press> pressed;
-    std::map<BalancerNo, Span> toldStart;
+    std::deque<Arrival> arrivals;
+    std::map<BalancerIndex, Span> startKnownAt;
   };
-  struct ListWatch {  // of one balancer, while its list may be doubted
+  struct ListWatch {  // state of one balancer while its list is unreliable
     Span until = Span::min();
-    std::uint32_t givenUpUnsent = 0;
+    std::uint32_t rejectedUnsent = 0;
     bool sentSince = false;
     bool broken = false;
   };
 
   void breach(Rule rule, Span now, std::string subject, std::vector<std::string> timeline);
-  void breach(Rule rule, Span now, QueryNo query, const std::string& why);
-  void say(Open& open, Span now, std::string what) const;
-  void settle(QueryNo query);
-  [[nodiscard]] double allowed(const ServerWatch& watch, Span now) const;
-
-  Measures measures_;
-  std::unordered_map<QueryNo, Open> open_;
-  std::unordered_map<std::uint64_t, std::pair<std::uint32_t, std::vector<std::string>>> effects_;  // by mark
+  void breach(Rule rule, Span now, QueryNumber query, const std::string& why);
+  void record(OpenQuery& open, Span now, std::string what) const;
+  void eraseIfDone(QueryNumber query);
+  [[nodiscard]] double coldLimit(const ServerWatch& watch, Span now) const;
+
+  AuditLimits limits_;
+  std::unordered_map<QueryNumber, OpenQuery> open_;
+  std::unordered_map<std::uint64_t, std::pair<std::uint32_t, std::vector<std::string>>>
+      effects_;  // by deduplication key
   std::deque<std::pair<Span, std::uint64_t>> effectOrder_;
   std::unordered_map<std::uint64_t, ServerWatch> servers_;
-  std::unordered_map<BalancerNo, std::map<ServerId, Span>> closed_;  // told draining or gone, since when
-  std::unordered_map<BalancerNo, ListWatch> lists_;
-  void warm(ServerId server, ServerWatch& watch);
+  std::unordered_map<BalancerIndex, std::map<ServerId, Span>>
+      notServingSince_;  // time of the notice, by server
+  std::unordered_map<BalancerIndex, ListWatch> lists_;
+  void endColdStart(ServerId server, ServerWatch& watch);
 
   std::vector<ColdPeak> coldPeaks_;
   std::map<ServerId, Span> drains_;
--- a/src/lab/contender.cpp
+++ b/src/lab/balancing_policy.cpp
@@ -1,4 +1,4 @@
-#include "lab/contender.hpp"
+#include "lab/balancing_policy.hpp"
 
 #include <algorithm>
 #include <map>
@@ -10,11 +10,11 @@
 namespace rackroute::lab {
 namespace {
 
-class Module : public Contender {
+class Module : public BalancingPolicy {
  public:
-  Module(const BalancerConfig& terms, BalancerHost& host) : balancer_(terms, host) {}
+  Module(const BalancerConfig& config, BalancerHost& host) : balancer_(config, host) {}
 
-  void take(Span now, const Query& query) override {
+  void submit(Span now, const Query& query) override {
     const QueryHandle handle = balancer_.submit(now, query);
     if (!handle.finished()) handles_.emplace(query.id.value, handle);
   }
@@ -30,70 +30,72 @@
   }
   void discoveryFailed(Span now) override { balancer_.discoveryFailed(now); }
   void wake(Span now) override { balancer_.wake(now); }
-  [[nodiscard]] PoolStatus standing(Span now) const override { return balancer_.poolStatus(now); }
+  [[nodiscard]] PoolStatus poolStatus(Span now) const override { return balancer_.poolStatus(now); }
 
  private:
-  // What the module answers by itself, in a wake or for another query, is swept out at its next mention.
+  // Queries that finish during a wake or another call are removed on their next event or by a periodic sweep.
   template <class Call>
   void with(QueryId query, const Call& call) {
     const auto at = handles_.find(query.value);
     if (at == handles_.end()) return;
     call(at->second);
     if (at->second.finished()) handles_.erase(at);
-    if (handles_.size() < 2 * sweptTo_ + 64) return;
+    if (handles_.size() < 2 * sizeAfterSweep_ + 64) return;
     std::erase_if(handles_, [](const auto& entry) { return entry.second.finished(); });
-    sweptTo_ = handles_.size();
+    sizeAfterSweep_ = handles_.size();
   }
 
   Balancer balancer_;
   std::unordered_map<std::uint32_t, QueryHandle> handles_;
-  std::size_t sweptTo_ = 0;
+  std::size_t sizeAfterSweep_ = 0;
 };
 
-/// What all baselines share: they hold the list as told, send what never ran to another server, what may run
-/// again too, and give up else.
-class Baseline : public Contender {
+/// Common part of the baselines: use the list as received, retry failed executions on another server if that
+/// is safe, and give up otherwise.
+class Baseline : public BalancingPolicy {
  public:
-  Baseline(const BalancerConfig& terms, BalancerHost& host)
-      : terms_(terms), host_(host), chance_(chanceOf(terms.seed, Purpose::policy, terms.balancerIndex)) {
-    if (terms_.discoveryOnRequest) host_.watchServers();
+  Baseline(const BalancerConfig& config, BalancerHost& host)
+      : config_(config),
+        host_(host),
+        random_(makeRandomEngine(config.seed, Purpose::policy, config.balancerIndex)) {
+    if (config_.discoveryOnRequest) host_.watchServers();
   }
 
-  void take(Span now, const Query& query) override {
-    Open& open = open_[query.id];
+  void submit(Span now, const Query& query) override {
+    OpenQuery& open = open_[query.id];
     open.query = query;
     open.deadline = now + query.timeLeft;
-    place(now, query.id);
+    dispatch(now, query.id);
   }
   void executionEnded(Span now, QueryId query, ExecutionNo, Outcome outcome, bool terminal, Span) override {
     const auto at = open_.find(query);
     if (at == open_.end()) return;
-    --out_[at->second.server];
-    if (terminal || at->second.left) {
+    --inFlight_[at->second.server];
+    if (terminal || at->second.abandoned) {
       open_.erase(at);
       return;
     }
-    const bool never =
+    const bool neverExecuted =
         outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::invalidQuery;
-    if (!never) at->second.mayHaveRun = true;
-    const RetrySafety repeat = terms_.useCases[at->second.query.useCase.value].retrySafety;
+    if (!neverExecuted) at->second.mayHaveRun = true;
+    const RetrySafety repeat = config_.useCases[at->second.query.useCase.value].retrySafety;
     if (at->second.mayHaveRun && repeat != RetrySafety::idempotent) return giveUp(now, at);
-    place(now, query);
+    dispatch(now, query);
   }
   void clientLeft(Span, QueryId query) override {
     const auto at = open_.find(query);
-    if (at != open_.end()) at->second.left = true;
+    if (at != open_.end()) at->second.abandoned = true;
   }
   void serversListed(Span, ServerListKind listing, std::span<const ListedServer> servers) override {
-    if (listing != ServerListKind::changes) held_.clear();
+    if (listing != ServerListKind::changes) servers_.clear();
     for (const ListedServer& server : servers) {
-      const auto at = std::find(held_.begin(), held_.end(), server.id);
-      if (server.lifecycle == Lifecycle::serving && at == held_.end())
-        held_.push_back(server.id);
-      else if (server.lifecycle != Lifecycle::serving && at != held_.end())
-        held_.erase(at);
+      const auto at = std::find(servers_.begin(), servers_.end(), server.id);
+      if (server.lifecycle == Lifecycle::serving && at == servers_.end())
+        servers_.push_back(server.id);
+      else if (server.lifecycle != Lifecycle::serving && at != servers_.end())
+        servers_.erase(at);
     }
-    std::sort(held_.begin(), held_.end());
+    std::sort(servers_.begin(), servers_.end());
   }
   void discoveryFailed(Span now) override { host_.wakeAt(now + std::chrono::milliseconds(500)); }
   void wake(Span) override { host_.watchServers(); }
@@ -101,43 +103,43 @@
  protected:
   virtual std::optional<ServerId> pick() = 0;
 
-  BalancerConfig terms_;
+  BalancerConfig config_;
   BalancerHost& host_;
-  Chance chance_;
-  std::vector<ServerId> held_;
-  std::unordered_map<std::uint64_t, std::size_t> outById_;
-  struct OutAt {
+  RandomEngine random_;
+  std::vector<ServerId> servers_;
+  std::unordered_map<std::uint64_t, std::size_t> inFlightById_;
+  struct InFlightCounts {
     std::unordered_map<std::uint64_t, std::size_t>& by;
     std::size_t& operator[](ServerId id) const { return by[id.value]; }
   };
-  OutAt out_{outById_};
+  InFlightCounts inFlight_{inFlightById_};
 
  private:
-  struct Open {
+  struct OpenQuery {
     Query query;
     Span deadline{};
     ServerId server;
     std::uint32_t executions = 0;
     bool mayHaveRun = false;
-    bool left = false;
+    bool abandoned = false;
   };
 
-  void place(Span now, QueryId query) {
+  void dispatch(Span now, QueryId query) {
     const auto at = open_.find(query);
-    Open& open = at->second;
+    OpenQuery& open = at->second;
     const std::optional<ServerId> server =
-        open.executions < terms_.maxExecutions && now + terms_.tick < open.deadline ? pick() : std::nullopt;
+        open.executions < config_.maxExecutions && now + config_.tick < open.deadline ? pick() : std::nullopt;
     if (!server) return giveUp(now, at);
     ++open.executions;
     open.server = *server;
-    ++out_[*server];
+    ++inFlight_[*server];
     host_.execute(query, *server, open.deadline - now);
   }
-  void giveUp(Span now, std::map<QueryId, Open>::iterator at) {
+  void giveUp(Span now, std::map<QueryId, OpenQuery>::iterator at) {
     const QueryId query = at->first;
     const bool harmless =
         !at->second.mayHaveRun ||
-        terms_.useCases[at->second.query.useCase.value].retrySafety == RetrySafety::idempotent;
+        config_.useCases[at->second.query.useCase.value].retrySafety == RetrySafety::idempotent;
     const bool reject = harmless && now < at->second.deadline;
     open_.erase(at);
     if (reject)
@@ -146,55 +148,56 @@
       host_.abort(query);
   }
 
-  std::map<QueryId, Open> open_;
+  std::map<QueryId, OpenQuery> open_;
 };
 
 class Random : public Baseline {
   using Baseline::Baseline;
   std::optional<ServerId> pick() override {
-    if (held_.empty()) return std::nullopt;
-    return held_[std::uniform_int_distribution<std::size_t>(0, held_.size() - 1)(chance_)];
+    if (servers_.empty()) return std::nullopt;
+    return servers_[std::uniform_int_distribution<std::size_t>(0, servers_.size() - 1)(random_)];
   }
 };
 
 class RoundRobin : public Baseline {
  public:
-  RoundRobin(const BalancerConfig& terms, BalancerHost& host) : Baseline(terms, host), next_(chance_()) {}
+  RoundRobin(const BalancerConfig& config, BalancerHost& host) : Baseline(config, host), next_(random_()) {}
 
  private:
   std::optional<ServerId> pick() override {
-    if (held_.empty()) return std::nullopt;
-    return held_[next_++ % held_.size()];
+    if (servers_.empty()) return std::nullopt;
+    return servers_[next_++ % servers_.size()];
   }
-  std::size_t next_;  // starts by chance, or all balancers would go round in step
+  std::size_t next_;  // random start, so that balancers do not rotate in step
 };
 
 class LeastOfTwo : public Baseline {
   using Baseline::Baseline;
   std::optional<ServerId> pick() override {
-    if (held_.empty()) return std::nullopt;
-    return held_[leastOfTwo(chance_, held_.size(), [this](std::size_t at) { return out_[held_[at]]; })];
+    if (servers_.empty()) return std::nullopt;
+    return servers_[leastOfTwo(random_, servers_.size(),
+                               [this](std::size_t at) { return inFlight_[servers_[at]]; })];
   }
 };
 
 class AllSeeing : public Baseline {
  public:
-  AllSeeing(const BalancerConfig& terms, BalancerHost& host, TrueWait sees)
-      : Baseline(terms, host), sees_(std::move(sees)) {}
+  AllSeeing(const BalancerConfig& config, BalancerHost& host, WaitOracle estimateWait)
+      : Baseline(config, host), estimateWait_(std::move(estimateWait)) {}
 
  private:
   std::optional<ServerId> pick() override {
     std::optional<ServerId> best;
     double least = 0;
-    for (const ServerId server : held_) {
-      const double wait = sees_(terms_.balancerIndex, server);
+    for (const ServerId server : servers_) {
+      const double wait = estimateWait_(config_.balancerIndex, server);
       if (wait < 0 || (best && wait >= least)) continue;
       best = server;
       least = wait;
     }
     return best;
   }
-  TrueWait sees_;
+  WaitOracle estimateWait_;
 };
 
 }  // namespace
@@ -212,31 +215,31 @@
   throw std::invalid_argument("no such policy: " + std::string(name));
 }
 
-std::unique_ptr<Contender> makeContender(PolicyKind kind, const BalancerConfig& terms, BalancerHost& host,
-                                         const TrueWait& sees) {
+std::unique_ptr<BalancingPolicy> makePolicy(PolicyKind kind, const BalancerConfig& config, BalancerHost& host,
+                                            const WaitOracle& estimateWait) {
   switch (kind) {
     case PolicyKind::module:
-      return std::make_unique<Module>(terms, host);
+      return std::make_unique<Module>(config, host);
     case PolicyKind::random:
-      return std::make_unique<Random>(terms, host);
+      return std::make_unique<Random>(config, host);
     case PolicyKind::roundRobin:
-      return std::make_unique<RoundRobin>(terms, host);
+      return std::make_unique<RoundRobin>(config, host);
     case PolicyKind::leastOfTwo:
-      return std::make_unique<LeastOfTwo>(terms, host);
+      return std::make_unique<LeastOfTwo>(config, host);
     case PolicyKind::allSeeing:
-      return std::make_unique<AllSeeing>(terms, host, sees);
+      return std::make_unique<AllSeeing>(config, host, estimateWait);
   }
   throw std::invalid_argument("no such policy");
 }
 
-std::size_t leastOfTwo(Chance& chance, std::size_t places,
-                       const std::function<std::size_t(std::size_t)>& held) {
-  std::uniform_int_distribution<std::size_t> place(0, places - 1);
-  const std::size_t one = place(chance);
-  if (places == 1) return one;
-  std::size_t other = place(chance);
-  while (other == one) other = place(chance);
-  return held(other) < held(one) ? other : one;
+std::size_t leastOfTwo(RandomEngine& engine, std::size_t count,
+                       const std::function<std::size_t(std::size_t)>& load) {
+  std::uniform_int_distribution<std::size_t> candidate(0, count - 1);
+  const std::size_t one = candidate(engine);
+  if (count == 1) return one;
+  std::size_t other = candidate(engine);
+  while (other == one) other = candidate(engine);
+  return load(other) < load(one) ? other : one;
 }
 
 }  // namespace rackroute::lab
--- a/src/lab/children.cpp
+++ b/src/lab/children.cpp
@@ -20,25 +20,25 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kStops = 5s;              // after TERM; then it is killed
-constexpr rlim_t kDescriptors = 16'384;  // some for each process that a machine bears
+constexpr auto kShutdownTimeout = 5s;  // from SIGTERM to SIGKILL
+constexpr rlim_t kMaxDescriptors = 16'384;
 
-volatile std::sig_atomic_t callToStop = 0;
-void breakOff(int) { callToStop = 1; }
+volatile std::sig_atomic_t interruptRequested = 0;
+void breakOff(int) { interruptRequested = 1; }
 
 }  // namespace
 
 void Children::prepare() {
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
-  limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, kDescriptors);
+  limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, kMaxDescriptors);
   ::setrlimit(RLIMIT_NOFILE, &limit);
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGINT, breakOff);
   std::signal(SIGTERM, breakOff);
 }
 
-bool Children::brokenOff() { return callToStop != 0; }
+bool Children::interrupted() { return interruptRequested != 0; }
 
 Children::Children(std::size_t places) : children_(places) {}
 
@@ -47,7 +47,7 @@
     if (child.id > 0) ::kill(child.id, SIGCONT);
     if (child.id > 0) ::kill(child.id, SIGTERM);
   }
-  const auto last = std::chrono::steady_clock::now() + kStops;
+  const auto last = std::chrono::steady_clock::now() + kShutdownTimeout;
   for (Child& child : children_) {
     while (child.id > 0 && ::waitpid(child.id, nullptr, WNOHANG) == 0) {
       if (std::chrono::steady_clock::now() > last) ::kill(child.id, SIGKILL);
@@ -60,7 +60,7 @@
 void Children::start(std::size_t place, const Start& how) {
   Child& child = children_[place];
   reap(child);
-  // Guards against one that was told to end and still does: the new one would not get its address.
+  // A process that is still shutting down would keep the address in use.
   if (child.id > 0) ::kill(child.id, SIGKILL);
   if (child.id > 0) ::waitpid(child.id, nullptr, 0);
   child.id = 0;
@@ -79,9 +79,9 @@
   const std::string log = how.log.empty() ? "/dev/null" : how.log;
   const pid_t parent = ::getpid();
   const pid_t id = ::fork();
-  if (id < 0) throw std::runtime_error("no process can be started");
+  if (id < 0) throw std::runtime_error("cannot start a process: fork failed");
   if (id == 0) {
-    // Only what may be called between fork and exec.
+    // Only async-signal-safe calls between fork and exec.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(1);
     const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
@@ -92,14 +92,14 @@
     ::_exit(1);
   }
   child.id = id;
-  child.mayEnd = false;
+  child.terminating = false;
 }
 
 void Children::signal(std::size_t place, int number) {
   Child& child = children_[place];
   if (child.id <= 0) return;
   ::kill(child.id, number);
-  if (number == SIGTERM) child.mayEnd = true;
+  if (number == SIGTERM) child.terminating = true;
   if (number != SIGKILL) return;
   ::waitpid(child.id, nullptr, 0);
   child.id = 0;
@@ -111,10 +111,10 @@
   return true;
 }
 
-std::vector<std::size_t> Children::endedByThemselves() {
+std::vector<std::size_t> Children::takeUnexpectedExits() {
   std::vector<std::size_t> ended;
   for (std::size_t place = 0; place < children_.size(); ++place) {
-    if (reap(children_[place]) && !children_[place].mayEnd) ended.push_back(place);
+    if (reap(children_[place]) && !children_[place].terminating) ended.push_back(place);
   }
   return ended;
 }
--- a/src/lab/children.hpp
+++ b/src/lab/children.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Processes that a run on real sockets starts, signals and ends. It owns them: none outlives it, whatever
-// ends the run. Each reads one file with its settings, named to it by one variable.
+// Child processes of a run on real sockets. All of them are terminated when the owner is destroyed. Each
+// child reads its settings from a file whose path is passed in an environment variable.
 
 #include <sys/types.h>
 
@@ -20,40 +20,40 @@
  public:
   struct Start {
     std::string program;
-    std::vector<std::string> arguments{};  // after the program's name
-    std::string variable;                  // that names the file with the settings
-    std::string settings;                  // its content
-    std::vector<std::string> more{};       // further variables, NAME=VALUE
-    std::string log;                       // a file that is added to; empty: nowhere
+    std::vector<std::string> arguments{};  // without the program name
+    std::string variable;                  // environment variable with the path of the settings file
+    std::string settings;                  // contents of the settings file
+    std::vector<std::string> more{};       // further environment variables, NAME=VALUE
+    std::string log;                       // file to append output to; empty: discarded
   };
 
-  /// For a program that starts some: as many descriptors as it may have, and a call to break off (INT, TERM)
-  /// that ends the run in order, its children with it.
+  /// Call once before starting children: raises the descriptor limit and installs handlers for SIGINT and
+  /// SIGTERM, which end the run in an orderly way.
   static void prepare();
-  [[nodiscard]] static bool brokenOff();
+  [[nodiscard]] static bool interrupted();
 
   explicit Children(std::size_t places);
   Children(const Children&) = delete;
   Children& operator=(const Children&) = delete;
   ~Children();
 
-  /// What still runs at the place is killed first: the new one needs its addresses. Throws where none can be
-  /// started.
+  /// Kills a process that still runs at this place first, because the new one needs its addresses. Throws if
+  /// the process cannot be started.
   void start(std::size_t place, const Start& how);
-  /// After SIGKILL it is gone when this returns; after SIGTERM it may end by itself.
+  /// Waits for the exit after SIGKILL. After SIGTERM an exit is expected.
   void signal(std::size_t place, int number);
-  /// Those that ended since the last call though nobody told them to.
-  std::vector<std::size_t> endedByThemselves();
-  /// Ended, whoever told it to, or never started.
+  /// Children that exited since the last call without a SIGTERM or SIGKILL from signal().
+  std::vector<std::size_t> takeUnexpectedExits();
+  /// True if the child has exited or was never started.
   [[nodiscard]] bool gone(std::size_t place);
-  /// 0: none runs.
+  /// Process id; 0 if none runs.
   [[nodiscard]] pid_t idAt(std::size_t place) const { return children_[place].id; }
   [[nodiscard]] std::size_t places() const { return children_.size(); }
 
  private:
   struct Child {
     pid_t id = 0;
-    bool mayEnd = false;
+    bool terminating = false;
     std::unique_ptr<Poco::TemporaryFile> file;
   };
   static bool reap(Child& child);
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -9,19 +9,19 @@
 #include <numeric>
 #include <thread>
 
-#include "lab/world.hpp"
+#include "lab/virtual_run.hpp"
 
 namespace rackroute::lab {
 namespace {
 
-constexpr double kConfidence = 0.975;  // one side of a 95% interval
+constexpr double kQuantile95 = 0.975;  // upper quantile of a two-sided 95% interval
 
 struct Figures {
   double goodput = 0;
   double worst = 0;
   double wastedShare = 0;
   double executionsPerQuery = 0;
-  double p99 = 0;  // of the first use case, ms
+  double p99 = 0;  // of the first use case, in ms
   std::uint64_t broken = 0;
   std::string firstBroken;
 };
@@ -37,7 +37,7 @@
   figures.executionsPerQuery = judged > 0 ? all["executions"].get<double>() / judged : 0;
   figures.p99 = all["use_cases"][0]["p99_ms"].get<double>();
   figures.broken = result.breaches;
-  if (!result.told.empty()) figures.firstBroken = nameOf(result.told.front().rule);
+  if (!result.breachDetails.empty()) figures.firstBroken = nameOf(result.breachDetails.front().rule);
   return figures;
 }
 
@@ -53,34 +53,34 @@
 }
 
 Json summary(const std::vector<Figures>& all) {
-  Json made;
-  made["goodput"] = json(over(all, [](const Figures& f) { return f.goodput; }));
-  made["worst_10_s"] = json(over(all, [](const Figures& f) { return f.worst; }));
-  made["p99_ms"] = json(over(all, [](const Figures& f) { return f.p99; }));
-  made["wasted_share"] = json(over(all, [](const Figures& f) { return f.wastedShare; }));
-  made["executions_per_query"] = json(over(all, [](const Figures& f) { return f.executionsPerQuery; }));
+  Json result;
+  result["goodput"] = json(over(all, [](const Figures& f) { return f.goodput; }));
+  result["worst_10_s"] = json(over(all, [](const Figures& f) { return f.worst; }));
+  result["p99_ms"] = json(over(all, [](const Figures& f) { return f.p99; }));
+  result["wasted_share"] = json(over(all, [](const Figures& f) { return f.wastedShare; }));
+  result["executions_per_query"] = json(over(all, [](const Figures& f) { return f.executionsPerQuery; }));
   std::uint64_t broken = 0;
   std::string first;
   for (const Figures& figures : all) {
     broken += figures.broken;
     if (first.empty()) first = figures.firstBroken;
   }
-  made["broken"] = broken;
-  if (!first.empty()) made["first_broken"] = first;
-  return made;
+  result["broken"] = broken;
+  if (!first.empty()) result["first_broken"] = first;
+  return result;
 }
 
-std::vector<Figures> play(const Scenario& scenario, const std::string& policy, const ExperimentPlan& plan,
-                          std::atomic<std::size_t>& done, std::size_t all, std::mutex& telling) {
+std::vector<Figures> runSeeds(const Scenario& scenario, const std::string& policy, const ExperimentPlan& plan,
+                              std::atomic<std::size_t>& done, std::size_t all, std::mutex& progressMutex) {
   std::vector<Figures> figures(plan.seeds.size());
   inParallel(plan.seeds.size(), plan.jobs, [&](std::size_t i) {
     RunPlan run;
     run.seed = plan.seeds[i];
     run.policy = policy;
-    figures[i] = figuresOf(playVirtual(scenario, run));
+    figures[i] = figuresOf(runVirtual(scenario, run));
     const std::size_t now = ++done;
     if (!plan.progress) return;
-    const std::lock_guard lock(telling);
+    const std::lock_guard lock(progressMutex);
     plan.progress(now, all);
   });
   return figures;
@@ -96,19 +96,19 @@
   double squares = 0;
   for (const double value : values) squares += (value - mean) * (value - mean);
   const boost::math::students_t student(count - 1);
-  return {mean, boost::math::quantile(student, kConfidence) * std::sqrt(squares / (count - 1) / count)};
+  return {mean, boost::math::quantile(student, kQuantile95) * std::sqrt(squares / (count - 1) / count)};
 }
 
-void inParallel(std::size_t count, unsigned jobs, const std::function<void(std::size_t)>& deed) {
+void inParallel(std::size_t count, unsigned jobs, const std::function<void(std::size_t)>& task) {
   std::atomic<std::size_t> next{0};
   std::exception_ptr failed;
-  std::mutex failing;
+  std::mutex failureMutex;
   const auto work = [&] {
     for (std::size_t i = next++; i < count; i = next++) {
       try {
-        deed(i);
+        task(i);
       } catch (...) {
-        const std::lock_guard lock(failing);
+        const std::lock_guard lock(failureMutex);
         if (!failed) failed = std::current_exception();
         next = count;
       }
@@ -129,14 +129,15 @@
   all["about"] = scenario.about;
   all["seeds"] = plan.seeds;
   std::atomic<std::size_t> done{0};
-  std::mutex telling;
+  std::mutex progressMutex;
   std::vector<std::vector<Figures>> played;
   for (const std::string& policy : plan.policies) {
-    played.push_back(play(scenario, policy, plan, done, plan.policies.size() * plan.seeds.size(), telling));
+    played.push_back(
+        runSeeds(scenario, policy, plan, done, plan.policies.size() * plan.seeds.size(), progressMutex));
     Json one = summary(played.back());
     one["policy"] = policy;
     if (played.size() > 1) {
-      // Paired: both met the same queries and troubles, seed by seed.
+      // Paired difference: both policies face the same queries and troubles for each seed.
       std::vector<double> ahead;
       for (std::size_t i = 0; i < plan.seeds.size(); ++i)
         ahead.push_back(played.front()[i].goodput - played.back()[i].goodput);
@@ -154,7 +155,7 @@
 
 Json sweepJson(const std::string& file, const std::vector<Override>& overrides, const Sweep& sweep,
                const ExperimentPlan& plan) {
-  std::vector<Scenario> scenarios;  // all read before the first is played, so that a bad value fails at once
+  std::vector<Scenario> scenarios;  // read before the first run, so that invalid values fail early
   for (const std::string& value : sweep.values) {
     std::vector<Override> with = overrides;
     with.emplace_back(sweep.key, value);
@@ -168,11 +169,11 @@
   all["over"] = sweep.key;
   all["seeds"] = plan.seeds;
   std::atomic<std::size_t> done{0};
-  std::mutex telling;
+  std::mutex progressMutex;
   const std::size_t runs = scenarios.size() * plan.policies.size() * plan.seeds.size();
   for (std::size_t i = 0; i < scenarios.size(); ++i) {
     for (const std::string& policy : plan.policies) {
-      Json one = summary(play(scenarios[i], policy, plan, done, runs, telling));
+      Json one = summary(runSeeds(scenarios[i], policy, plan, done, runs, progressMutex));
       one["policy"] = policy;
       one["value"] = sweep.values[i];
       all["points"].push_back(std::move(one));
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
-// The draws of a run that every clock and policy shares: the servers with their names, zones and speeds, the
-// clients' queries one after the other, and which servers a trouble hits.
+// The random inputs of a run, which are the same for every clock and policy: the servers, the client requests
+// and the servers that each trouble affects.
 
 #include <string>
 #include <vector>
 
-#include "lab/draws.hpp"
+#include "lab/random.hpp"
 #include "lab/scenario.hpp"
 #include "rackroute/balancer.hpp"
 
@@ -17,48 +17,48 @@
   ServerId id;
   ZoneId zone;
   CellId cell;
-  double size = 1;  // as registered
+  double size = 1;  // registered weight
   ServerTraits traits;
-  bool atStart = true;  // false: it joins later
+  bool atStart = true;  // false: joins later
 };
 
 std::vector<FleetServer> drawFleet(const Scenario& scenario, std::uint64_t seed);
 
-/// What one client wants; its tries are its own.
-struct Ask {
-  std::uint64_t number = 0;  // also its mark against repeats, from 1
+/// One request of a client; retries belong to the same request.
+struct ClientRequest {
+  std::uint64_t number = 0;  // from 1; also the deduplication key
   Span at{};
   std::uint32_t balancer = 0;
   std::uint32_t useCase = 0;
   double work = 0;  // seconds of a standard core
   std::optional<std::uint64_t> key;
-  bool obeys = false;
-  double leavesAfter = 2;  // of its time; above 1: never
-  double spread = 1;       // of its waits
+  bool honorsRetryAfter = false;
+  double disconnectsAfter = 2;  // relative to the timeout; above 1: never
+  double spread = 1;            // factor for retry delays
 };
 
 class Clients {
  public:
   Clients(const Scenario& scenario, std::uint64_t seed);
-  /// The next one; none after the end.
-  std::optional<Ask> next();
+  /// The next request; nullopt at the end of the run.
+  std::optional<ClientRequest> next();
 
  private:
   [[nodiscard]] double rate(Span at) const;
 
   const Scenario& scenario_;
-  Chance arrivals_;
-  Chance clients_;
-  std::vector<double> useCases_;   // running sums of shares
-  std::vector<double> balancers_;  // running sums of weights
+  RandomEngine arrivals_;
+  RandomEngine clients_;
+  std::vector<double> useCases_;   // cumulative shares
+  std::vector<double> balancers_;  // cumulative weights
   std::optional<SkewedKeys> keys_;
   double mean_;
   Span at_{};
   std::uint64_t number_ = 0;
 };
 
-/// The servers, by place, that trouble number `no` hits.
-std::vector<std::size_t> hitBy(const Scenario& scenario, std::size_t no,
-                               const std::vector<FleetServer>& fleet, std::uint64_t seed);
+/// Indexes of the servers that trouble number `no` affects.
+std::vector<std::size_t> affectedServers(const Scenario& scenario, std::size_t no,
+                                         const std::vector<FleetServer>& fleet, std::uint64_t seed);
 
 }  // namespace rackroute::lab
--- a/src/lab/fleet/drill.hpp
+++ b/src/lab/fleet/drill.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// A drill for a fleet's members: how many, what passes between them, the faults on a timetable and what is
-// promised, read from a TOML file. The same for virtual time and for real processes. It owns no state of a
-// run.
+// Configuration of a membership drill, read from a TOML file: members, network, a schedule of faults and the
+// expected behaviour. Used in virtual time and with real processes.
 
 #include <cstdint>
 #include <optional>
@@ -11,38 +10,38 @@
 #include <vector>
 
 #include "fleet/member.hpp"
-#include "lab/draws.hpp"
+#include "lab/random.hpp"
 #include "lab/scenario.hpp"
 
 namespace rackroute::lab {
 
 enum class FaultKind {
-  cut,          // nothing passes between the two groups
-  oneWay,       // nothing passes from the first to the second
+  cut,          // no traffic between the two groups
+  oneWay,       // no traffic from the first group to the second
   loss,         // a share of datagrams is lost
-  delay,        // a share of them comes later
-  doubled,      // a share of them comes twice, the second one later
-  corrupt,      // a share of them has a byte changed
-  noDiscovery,  // nothing passes between members and discovery; beside queries only
-  noServers,    // nothing passes between members and servers, all or those of a zone; beside queries only
-  newer,        // what the first group says has a field that nobody knows yet
-  kill,         // at once; starts anew after for_s, if that is given
-  leave,        // by TERM; the same
-  freeze,       // for_s
-  freezes,      // each now and then, from least_s to most_s, with gap_s between in the mean
-  deaf,         // the same, but it only hears nothing of others: its timers run, and what it says arrives
-  churn,        // each leaves at a moment drawn, and starts anew after least_s to most_s
-  crashLoop,    // killed and started anew every least_s
-  twin          // a second process with the name of the first one of the group
+  delay,        // a share of datagrams is delayed
+  doubled,      // a share of datagrams is duplicated; the copy is delayed
+  corrupt,      // a share of datagrams has one byte changed
+  noDiscovery,  // no traffic between members and discovery; only along with queries
+  noServers,    // no traffic between members and servers (all, or of one zone); only along with queries
+  newer,        // messages of the first group carry an unknown field
+  kill,         // SIGKILL; restarted after for_s, if given
+  leave,        // SIGTERM; restarted after for_s, if given
+  freeze,       // stopped for for_s
+  freezes,      // stopped repeatedly for least_s to most_s, with a mean gap of gap_s
+  deaf,         // as freezes, but only received messages are lost; timers and sending continue
+  churn,        // each leaves at a random time and restarts after least_s to most_s
+  crashLoop,    // killed and restarted every least_s
+  twin          // a second process with the name of the first member of the group
 };
 
 struct Fault {
   FaultKind kind = FaultKind::cut;
   Span at{};
-  Span length{};  // 0: to the end
+  Span length{};  // 0: until the end
   std::string who;
-  std::string whom;                   // "others": all but who
-  std::optional<std::uint32_t> zone;  // of the servers; none: all of them
+  std::string whom;                   // "others": all except who
+  std::optional<std::uint32_t> zone;  // zone of the servers; nullopt: all
   double share = 1;
   Span delay{};
   Span least{};
@@ -50,16 +49,16 @@
   Span gap{};
 };
 
-/// What is promised of a drill; nothing where it is 0.
-struct Promised {
-  Span settle{};  // from the last disturbance until all views are right, and stay so
+/// Expected behaviour in a drill; a value of 0 is not checked.
+struct Expectations {
+  Span settle{};  // from the last disturbance until all views are correct and remain so
   double wrongDeaths = -1;
-  double messages = 0;  // that anyone gets in any second
-  double bytes = 0;     // a second each way, in the mean over members, outside of disturbances
-  double error = 0;     // share of the members that a stayer's view has wrong ...
-  Span errorFor{};      // ... for so long
-  std::string hearing;  // of all at the end
-  bool safe = true;     // no safe count is below the members that run
+  double messages = 0;    // maximum received by a member in any second
+  double bytes = 0;       // per second and direction, mean over members, outside of disturbances
+  double error = 0;       // maximum share of wrong entries in the view of a running member ...
+  Span errorFor{};        // ... for longer than this
+  std::string hearing;    // state of all members at the end
+  bool safeCount = true;  // no safe count is below the number of running members
 };
 
 struct Drill {
@@ -69,40 +68,40 @@
   Span length{};
   std::uint32_t members = 0;
   std::uint32_t zones = 1;
-  std::uint32_t join = 2;  // the first ones, whose addresses all are told
-  Span startOver{};
-  bool warm = false;  // virtual time only: all know each other at the start
+  std::uint32_t join = 2;  // number of seed members
+  Span startSpread{};
+  bool warm = false;  // virtual time only: all members know each other at the start
   Span period{};
-  Span askEvery{};        // real processes only: each member's door, what it sees
+  Span statusInterval{};  // real processes only: interval of status requests to each member
   bool lifeguard = true;  // virtual time only
-  Span sameZone{};
-  Span crossZone{};
+  Span sameZoneDelay{};
+  Span crossZoneDelay{};
   double jitter = 0;
   std::vector<Fault> faults;
-  Promised promised;
+  Expectations expected;
 };
 
 [[nodiscard]] Drill readDrill(const std::string& file, const std::vector<Override>& overrides = {});
 [[nodiscard]] Drill readDrillText(std::string_view text, const std::string& file,
                                   const std::vector<Override>& overrides = {});
 
-/// What is done to one member, or to what passes between all.
-struct Deed {
-  enum class Kind { start, kill, leave, freeze, wake, deaf, hears, faultBegins, faultEnds, twin };
+/// An action on one member or on the network.
+struct ScheduledAction {
+  enum class Kind { start, kill, leave, freeze, wake, deaf, receives, faultBegins, faultEnds, twin };
   Span at{};
   Kind kind = Kind::start;
-  std::uint32_t member = 0;  // or the fault
+  std::uint32_t member = 0;  // index of the member, or of the fault for faultBegins and faultEnds
 };
 
-/// A drawn run of a drill: who is in each fault's groups, and all deeds in their order.
+/// The schedule of one run: the groups of each fault and all actions in order of time.
 struct Timetable {
-  std::vector<Deed> deeds;
-  std::vector<std::vector<bool>> who;  // by fault, then member
+  std::vector<ScheduledAction> actions;
+  std::vector<std::vector<bool>> who;  // indexed by fault, then member
   std::vector<std::vector<bool>> whom;
 };
-[[nodiscard]] Timetable draw(const Drill& drill, std::uint64_t seed);
-/// Whether it changes who runs or who can reach whom; weather, such as loss, does not.
-[[nodiscard]] bool disturbs(FaultKind kind);
-[[nodiscard]] bool lasts(FaultKind kind);  // from its beginning to its end, on what passes
+[[nodiscard]] Timetable drawTimetable(const Drill& drill, std::uint64_t seed);
+/// Whether the fault changes which members run or can reach each other; loss and similar faults do not.
+[[nodiscard]] bool isDisturbance(FaultKind kind);
+[[nodiscard]] bool affectsNetwork(FaultKind kind);  // acts on the network from its start to its end
 
 }  // namespace rackroute::lab
--- a/src/lab/fleet/process_fleet.cpp
+++ b/src/lab/fleet/process_fleet.cpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "lab/children.hpp"
-#include "lab/fleet/rig.hpp"
+#include "lab/fleet/drill_controller.hpp"
 #include "sidecar/log.hpp"
 #include "sidecar/loop.hpp"
 
@@ -21,72 +21,72 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint32_t kMostProcesses = 250;  // last numbers of loopback addresses; memory for as many
-constexpr Span kTell = 1s;                     // between two words on how far the run is
+constexpr std::uint32_t kMaxProcesses = 250;  // limited by the last octet of loopback addresses
+constexpr Span kWatchInterval = 1s;
 
 class ProcessFleet {
  public:
   ProcessFleet(const Drill& drill, const DrillPlan& plan)
       : drill_(drill),
         plan_(plan),
-        rig_(loop_, drill, plan.seed,
-             {[this](std::uint32_t place) { start(place); },
-              [this](std::uint32_t place, int number) { children_.signal(place, number); }}),
-        children_(rig_.places()) {}
+        controller_(loop_, drill, plan.seed,
+                    {[this](std::uint32_t place) { start(place); },
+                     [this](std::uint32_t place, int number) { children_.signal(place, number); }}),
+        children_(controller_.places()) {}
   ProcessFleet(const ProcessFleet&) = delete;
   ProcessFleet& operator=(const ProcessFleet&) = delete;
   Json run() {
-    // Guarded, so that the loop's first poll ends with the first timer.
+    // Runs guarded, so that the first poll of the loop ends with the first timer.
     loop_.guarded([this] {
-      rig_.begin(false);
+      controller_.begin(false);
       watch();
     });
     loop_.run();
-    Json run = rig_.finish();
+    Json run = controller_.finish();
     measure(run);
     if (crashed_ > 0) {
       run["kept"] = false;
       run["broken"].push_back({{"promise", "no process ends by itself"},
-                               {"second", seconds(rig_.now())},
-                               {"member", std::string("m").append(std::to_string(crash_))},
+                               {"second", seconds(controller_.now())},
+                               {"member", std::string("m").append(std::to_string(lastCrashed_))},
                                {"what", std::to_string(crashed_) + " ended"}});
     }
-    run["broken_off"] = Children::brokenOff();
+    run["broken_off"] = Children::interrupted();
     return run;
   }
 
  private:
   void start(std::uint32_t place) {
-    Json told = rig_.told(place);
-    told["listen"] = rig_.clientsAt(place);
-    told["discovery"] = "127.0.0.1:1";  // nobody is there: lists come with the configuration
-    told["seed"] = std::to_string(1000 + place);
-    told["limits"]["sockets"] = 256;
-    told["known"] = {{"index", 0}, {"snapshot", true}, {"endpoints", Json::array()}};
-    told["settings"]["locality"] = std::string("z").append(std::to_string(place % drill_.zones));
-    told["settings"]["use_cases"] = {
+    Json config = controller_.config(place);
+    config["listen"] = controller_.clientsAt(place);
+    config["discovery"] = "127.0.0.1:1";  // unused: the server list is part of the configuration
+    config["seed"] = std::to_string(1000 + place);
+    config["limits"]["sockets"] = 256;
+    config["known"] = {{"index", 0}, {"snapshot", true}, {"endpoints", Json::array()}};
+    config["settings"]["locality"] = std::string("z").append(std::to_string(place % drill_.zones));
+    config["settings"]["use_cases"] = {
         {{"name", "read"}, {"effect", "retryable"}, {"group", "all"}, {"slo_time_ms", 500.0}}};
-    told["settings"]["bounds"] = {{"max_executions", 2}, {"dial_timeout_ms", 250.0}};
+    config["settings"]["bounds"] = {{"max_executions", 2}, {"dial_timeout_ms", 250.0}};
     const bool logs = !plan_.logs.empty();
     children_.start(place, {plan_.program,
                             {},
                             "LB_CONFIG",
-                            told.dump(),
+                            config.dump(),
                             {logs ? "RACKROUTE_LOG=info" : "RACKROUTE_LOG=error"},
                             logs ? plan_.logs + "/m" + std::to_string(place) + ".log" : std::string()});
   }
 
   void watch() {
-    for (const std::size_t place : children_.endedByThemselves()) {
+    for (const std::size_t place : children_.takeUnexpectedExits()) {
       ++crashed_;
-      crash_ = place;
+      lastCrashed_ = place;
     }
-    if (plan_.progress) plan_.progress(std::min(1.0, seconds(rig_.now()) / seconds(drill_.length)));
-    if (rig_.now() >= drill_.length || Children::brokenOff()) return loop_.stop();
-    loop_.in(kTell, [this] { watch(); });
+    if (plan_.progress) plan_.progress(std::min(1.0, seconds(controller_.now()) / seconds(drill_.length)));
+    if (controller_.now() >= drill_.length || Children::interrupted()) return loop_.stop();
+    loop_.in(kWatchInterval, [this] { watch(); });
   }
 
-  // Processor time and memory of those that still run, from the system's own account of them.
+  // CPU time and memory of the running processes, from /proc.
   void measure(Json& run) {
     double ticks = 0;
     double age = 0;
@@ -116,64 +116,66 @@
   const Drill& drill_;
   const DrillPlan& plan_;
   sidecar::Loop loop_;
-  Rig rig_;
+  DrillController controller_;
   Children children_;
   std::uint64_t crashed_ = 0;
-  std::size_t crash_ = 0;
+  std::size_t lastCrashed_ = 0;
 };
 
-/// A rig beside queries: the stage of the queries has the processes in hand.
-class DrillBeside : public Companion {
+/// A drill along with queries; the socket run owns the processes.
+class DrillCompanion : public Companion {
  public:
-  DrillBeside(sidecar::Loop& loop, const Drill& drill, std::uint64_t seed)
-      : drill_(drill), rig_(loop, drill_, seed, {[](std::uint32_t) {}, [](std::uint32_t, int) {}}) {}
-  [[nodiscard]] Json told(std::uint32_t balancer, const std::string& discovery) override {
-    Json told = rig_.told(balancer);
-    told["discovery"] = rig_.discoveryFor(balancer, discovery);
-    return told;
+  DrillCompanion(sidecar::Loop& loop, const Drill& drill, std::uint64_t seed)
+      : drill_(drill), controller_(loop, drill_, seed, {[](std::uint32_t) {}, [](std::uint32_t, int) {}}) {}
+  [[nodiscard]] Json configPatch(std::uint32_t balancer, const std::string& discovery) override {
+    Json config = controller_.config(balancer);
+    config["discovery"] = controller_.discoveryFor(balancer, discovery);
+    return config;
   }
-  [[nodiscard]] std::string server(std::uint32_t balancer, const std::string& address,
-                                   std::uint32_t zone) override {
-    std::string& past = servers_[{balancer, address}];
-    if (past.empty()) past = rig_.serverFor(balancer, address, zone);
-    return past;
+  [[nodiscard]] std::string serverAddress(std::uint32_t balancer, const std::string& address,
+                                          std::uint32_t zone) override {
+    std::string& relayed = servers_[{balancer, address}];
+    if (relayed.empty()) relayed = controller_.serverFor(balancer, address, zone);
+    return relayed;
   }
-  [[nodiscard]] Span lostAt(std::uint32_t balancer) const override { return rig_.lostAt(balancer); }
-  void begin(Hands hands) override {
-    rig_.set({std::move(hands.start), std::move(hands.signal)});
-    rig_.begin(true);
+  [[nodiscard]] Span lastLossAt(std::uint32_t balancer) const override {
+    return controller_.lastLossAt(balancer);
   }
-  [[nodiscard]] Json finish() override { return rig_.finish(); }
+  void begin(ProcessControl processControl) override {
+    controller_.setProcessControl({std::move(processControl.start), std::move(processControl.signal)});
+    controller_.begin(true);
+  }
+  [[nodiscard]] Json finish() override { return controller_.finish(); }
 
  private:
   Drill drill_;
-  Rig rig_;
+  DrillController controller_;
   std::map<std::pair<std::uint32_t, std::string>, std::string> servers_;  // by balancer and server
 };
 
 }  // namespace
 
-std::function<std::unique_ptr<Companion>(sidecar::Loop&)> drillBeside(const Drill& drill,
-                                                                      std::uint64_t seed) {
+std::function<std::unique_ptr<Companion>(sidecar::Loop&)> makeDrillCompanion(const Drill& drill,
+                                                                             std::uint64_t seed) {
   for (const Fault& fault : drill.faults) {
     if (fault.kind == FaultKind::twin)
-      throw BadScenario(drill.file + ": fault: twin goes with processes without queries");
+      throw BadScenario(drill.file + ": fault: twin cannot be combined with queries");
   }
-  return [drill, seed](sidecar::Loop& loop) { return std::make_unique<DrillBeside>(loop, drill, seed); };
+  return [drill, seed](sidecar::Loop& loop) { return std::make_unique<DrillCompanion>(loop, drill, seed); };
 }
 
-Json playDrillProcesses(const Drill& drill, const DrillPlan& plan) {
-  if (drill.members > kMostProcesses)
-    throw BadScenario(drill.file + ": fleet.members: with processes at most " +
-                      std::to_string(kMostProcesses));
+Json runDrillProcesses(const Drill& drill, const DrillPlan& plan) {
+  if (drill.members > kMaxProcesses)
+    throw BadScenario(drill.file + ": fleet.members: maximum with processes is " +
+                      std::to_string(kMaxProcesses));
   for (const Fault& fault : drill.faults) {
     if (fault.kind == FaultKind::noDiscovery || fault.kind == FaultKind::noServers)
-      throw BadScenario(drill.file + ": fault: no_discovery and no_servers go with processes beside queries");
+      throw BadScenario(drill.file + ": fault: no_discovery and no_servers require processes with queries");
   }
   if (drill.warm || !drill.lifeguard)
-    throw BadScenario(drill.file + ": fleet.warm and fleet.lifeguard go with virtual time");
+    throw BadScenario(drill.file + ": fleet.warm and fleet.lifeguard require virtual time");
   if (!sidecar::setLevel("error")) throw std::logic_error("no such level");
-  Children::prepare();  // each member has two sockets here, and connections pass through
+  Children::prepare();  // the relay needs two sockets per member, plus connections
   return ProcessFleet(drill, plan).run();
 }
 
--- a/src/lab/fleet/process_fleet.hpp
+++ b/src/lab/fleet/process_fleet.hpp
@@ -1,31 +1,31 @@
 #pragma once
 
-// A drill with real processes of the program, which talk through the relay and carry no queries. However the
-// run ends, none of them stays behind.
+// A drill with real rackroute processes that communicate through the relay. All processes are terminated at
+// the end of the run.
 
 #include <cstdint>
 #include <functional>
 #include <string>
 
 #include "lab/fleet/drill.hpp"
-#include "lab/sockets.hpp"
-#include "lab/tally.hpp"
+#include "lab/run_statistics.hpp"
+#include "lab/socket_run.hpp"
 
 namespace rackroute::lab {
 
 struct DrillPlan {
   std::uint64_t seed = 1;
-  std::string program;  // the rackroute to start
-  std::string logs;     // a folder for what they log; empty: thrown away
+  std::string program;  // path of the rackroute executable
+  std::string logs;     // directory for their logs; empty: discarded
   std::function<void(double done)> progress;
 };
 
-/// Throws BadScenario on more members than loopback addresses or one machine should hold.
-[[nodiscard]] Json playDrillProcesses(const Drill& drill, const DrillPlan& plan);
+/// Throws BadScenario on too many members.
+[[nodiscard]] Json runDrillProcesses(const Drill& drill, const DrillPlan& plan);
 
-/// The drill's faults on what members say to each other, beside queries that real processes carry. Members
-/// are the scenario's balancers. Throws BadScenario on faults that end or stop processes.
-[[nodiscard]] std::function<std::unique_ptr<Companion>(sidecar::Loop&)> drillBeside(const Drill& drill,
-                                                                                    std::uint64_t seed);
+/// Runs a drill along with the queries of a socket run; the members are the balancers of the scenario. Throws
+/// BadScenario on the twin fault.
+[[nodiscard]] std::function<std::unique_ptr<Companion>(sidecar::Loop&)> makeDrillCompanion(
+    const Drill& drill, std::uint64_t seed);
 
 }  // namespace rackroute::lab
--- a/src/lab/fleet/relay.cpp
+++ b/src/lab/fleet/relay.cpp
@@ -20,23 +20,25 @@
 using sidecar::Reason;
 
 constexpr std::uint16_t kPort = 7946;
-constexpr int kATurn = 256;  // datagrams of one member
+constexpr int kBatchSize = 256;  // datagrams per read event
 constexpr int kBacklog = 256;
-constexpr std::size_t kLongest = 65536;  // bytes; any datagram whole, also one that nobody should send
+constexpr std::size_t kLongest = 65536;  // bytes; maximum size of a datagram
 
 }  // namespace
 
-/// One side of a connection that passes through.
+/// One side of a relayed connection.
 class RelayLink : public Connection {
  public:
   RelayLink(Relay& relay, Poco::Net::StreamSocket socket, std::uint32_t from, std::uint32_t to,
-            std::function<bool()> may)
+            std::function<bool()> allowed)
       : Connection(relay.loop_, "relay", std::move(socket), ""),
         relay_(relay),
         from_(from),
         to_(to),
-        may_(std::move(may)) {}
-  [[nodiscard]] bool passes() const { return may_ ? may_() : relay_.ways_.connects(from_, to_).has_value(); }
+        allowed_(std::move(allowed)) {}
+  [[nodiscard]] bool passes() const {
+    return allowed_ ? allowed_() : relay_.drillNetwork_.connectDelay(from_, to_).has_value();
+  }
   void start() {
     open();
     readNow();
@@ -44,15 +46,15 @@
   std::weak_ptr<RelayLink> other;
 
  protected:
-  // What comes while nothing passes is lost with its connection, which stays open and silent.
+  // Data that arrives during a cut is dropped; the connection stays open but never delivers data again.
   void received() override {
     std::string bytes = std::exchange(in_, {});
     if (!passes()) silent_ = true;
-    if (silent_ && may_) relay_.lost_[from_] = loop_.now();
+    if (silent_ && allowed_) relay_.lastLoss_[from_] = loop_.now();
     const auto there = other.lock();
     if (silent_ || !there || there->ended()) return;
-    if (!may_) relay_.sent_(from_, to_, bytes.size());
-    if (!may_) relay_.got_(from_, to_, bytes.size());
+    if (!allowed_) relay_.sent_(from_, to_, bytes.size());
+    if (!allowed_) relay_.received_(from_, to_, bytes.size());
     http::Gather pieces;
     pieces.text(std::move(bytes));
     there->send(std::move(pieces));
@@ -68,22 +70,22 @@
   Relay& relay_;
   std::uint32_t from_;
   std::uint32_t to_;
-  std::function<bool()> may_;  // not between members; from and to are the same
+  std::function<bool()> allowed_;  // set for outside addresses; from and to are then equal
   bool silent_ = false;
 };
 
-Relay::Relay(sidecar::Loop& loop, Ways& ways, std::uint32_t network, std::uint32_t members,
-             std::uint32_t places, Tell sent, Tell got)
+Relay::Relay(sidecar::Loop& loop, DrillNetwork& drillNetwork, std::uint32_t network, std::uint32_t members,
+             std::uint32_t places, TrafficObserver sent, TrafficObserver received)
     : loop_(loop),
-      ways_(ways),
+      drillNetwork_(drillNetwork),
       network_(network),
       members_(members),
       sent_(std::move(sent)),
-      got_(std::move(got)),
-      lost_(members, Span::min()) {
+      received_(std::move(received)),
+      lastLoss_(members, Span::min()) {
   for (std::uint32_t i = 0; i < places; ++i) {
     auto place = std::make_unique<Place>();
-    const SocketAddress address(reached(i));
+    const SocketAddress address(advertisedAddress(i));
     place->datagrams.bind(address, true);
     place->datagrams.setBlocking(false);
     place->listener.bind(address, true, false);
@@ -111,12 +113,12 @@
   for (const auto& [at, link] : links) link->end(Reason::shutdown);
 }
 
-std::string Relay::listens(std::uint32_t place, std::uint16_t port) const {
+std::string Relay::listenAddress(std::uint32_t place, std::uint16_t port) const {
   return std::string("127.") + std::to_string(network_) + ".1." + std::to_string(place + 1) + ':' +
          std::to_string(port);
 }
 
-std::string Relay::reached(std::uint32_t place) const {
+std::string Relay::advertisedAddress(std::uint32_t place) const {
   return std::string("127.") + std::to_string(network_) + ".2." + std::to_string(place + 1) + ':' +
          std::to_string(kPort);
 }
@@ -136,24 +138,24 @@
 void Relay::read(std::uint32_t place) {
   std::string bytes(kLongest, '\0');
   const int descriptor = places_[place]->datagrams.impl()->sockfd();
-  for (int i = 0; i < kATurn; ++i) {
+  for (int i = 0; i < kBatchSize; ++i) {
     sockaddr_in source{};
     socklen_t length = sizeof source;
     const auto size =
         ::recvfrom(descriptor, bytes.data(), bytes.size(), MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&source),
-                   &length);  // what the system's call takes
+                   &length);  // required by recvfrom()
     if (size < 0) return;
     const std::uint32_t last = ntohl(source.sin_addr.s_addr) & 0xffU;
     if (last == 0 || last > places_.size()) continue;
     const std::uint32_t from = memberOf(last - 1);
     sent_(from, memberOf(place), static_cast<std::size_t>(size));
-    for (const Passage& passage : ways_.pass(from, memberOf(place))) {
+    for (const Delivery& delivery : drillNetwork_.deliver(from, memberOf(place))) {
       std::string data = bytes.substr(0, static_cast<std::size_t>(size));
-      if (passage.newer) Ways::renew(data);
-      if (passage.spoilt) ways_.spoil(data);
-      loop_.in(passage.delay, [this, place, from, descriptor, data = std::move(data)] {
-        got_(from, memberOf(place), data.size());
-        const SocketAddress to(listens(place, kPort));
+      if (delivery.unknownField) DrillNetwork::addUnknownField(data);
+      if (delivery.corrupted) drillNetwork_.corrupt(data);
+      loop_.in(delivery.delay, [this, place, from, descriptor, data = std::move(data)] {
+        received_(from, memberOf(place), data.size());
+        const SocketAddress to(listenAddress(place, kPort));
         static_cast<void>(::sendto(descriptor, data.data(), data.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
                                    to.addr(), to.length()));
       });
@@ -167,42 +169,44 @@
   try {
     socket = places_[place]->listener.acceptConnection(peer);
   } catch (const Poco::Exception&) {
-    return;  // it left before it was accepted
+    return;  // the peer closed the connection before it was accepted
   }
   const auto last = std::stoul(peer.host().toString().substr(peer.host().toString().rfind('.') + 1));
   if (last == 0 || last > places_.size()) return;
-  join(socket, memberOf(static_cast<std::uint32_t>(last - 1)), memberOf(place), listens(place, kPort), {});
+  join(socket, memberOf(static_cast<std::uint32_t>(last - 1)), memberOf(place), listenAddress(place, kPort),
+       {});
 }
 
-std::string Relay::forward(std::uint32_t member, const std::string& address, std::function<bool()> may) {
-  auto made = std::make_unique<Forward>(Forward{{}, member, address, std::move(may)});
-  made->listener.bind(SocketAddress(SocketAddress(reached(member)).host(), 0), true, false);
-  made->listener.listen(kBacklog);
-  made->listener.setBlocking(false);
-  watch(made->listener, member, Kind::forward);
-  const std::string at = made->listener.address().toString();
-  const int descriptor = made->listener.impl()->sockfd();
-  forwards_[descriptor] = std::move(made);
+std::string Relay::forward(std::uint32_t member, const std::string& address, std::function<bool()> allowed) {
+  auto forwarded =
+      std::make_unique<ForwardedAddress>(ForwardedAddress{{}, member, address, std::move(allowed)});
+  forwarded->listener.bind(SocketAddress(SocketAddress(advertisedAddress(member)).host(), 0), true, false);
+  forwarded->listener.listen(kBacklog);
+  forwarded->listener.setBlocking(false);
+  watch(forwarded->listener, member, Kind::forward);
+  const std::string at = forwarded->listener.address().toString();
+  const int descriptor = forwarded->listener.impl()->sockfd();
+  forwards_[descriptor] = std::move(forwarded);
   return at;
 }
 
-void Relay::acceptForward(const Forward& forward) {
+void Relay::acceptForward(const ForwardedAddress& forward) {
   try {
     SocketAddress peer;
     Poco::Net::ServerSocket listener = forward.listener;
-    join(listener.acceptConnection(peer), forward.member, forward.member, forward.address, forward.may);
+    join(listener.acceptConnection(peer), forward.member, forward.member, forward.address, forward.allowed);
   } catch (const Poco::Exception&) {
-    return;  // it left before it was accepted
+    return;  // the peer closed the connection before it was accepted
   }
 }
 
 void Relay::join(const Poco::Net::StreamSocket& socket, std::uint32_t from, std::uint32_t to,
-                 const std::string& address, const std::function<bool()>& may) {
-  const auto near = std::make_shared<RelayLink>(*this, socket, from, to, may);
+                 const std::string& address, const std::function<bool()>& allowed) {
+  const auto near = std::make_shared<RelayLink>(*this, socket, from, to, allowed);
   links_.emplace(near.get(), near);
-  if (!near->passes()) return near->start();  // silent from the first byte
+  if (!near->passes()) return near->start();  // dropped from the first byte
   const auto far =
-      std::make_shared<RelayLink>(*this, Poco::Net::StreamSocket(SocketAddress::IPv4), to, from, may);
+      std::make_shared<RelayLink>(*this, Poco::Net::StreamSocket(SocketAddress::IPv4), to, from, allowed);
   links_.emplace(far.get(), far);
   near->other = far;
   far->other = near;
--- a/src/lab/fleet/relay.hpp
+++ b/src/lab/fleet/relay.hpp
@@ -1,8 +1,7 @@
 #pragma once
 
-// All that passes between members that are real processes: datagrams and connections arrive here, at the
-// address that each advertises, and go on to where it listens, as the faults of the moment have it. Loopback
-// only.
+// Relays datagrams and connections between members that are real processes: binds the address that each
+// member advertises and forwards to the address it listens on, subject to the active faults. Loopback only.
 
 #include <Poco/Net/DatagramSocket.h>
 #include <Poco/Net/ServerSocket.h>
@@ -15,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/fleet/ways.hpp"
+#include "lab/fleet/drill_network.hpp"
 #include "sidecar/loop.hpp"
 
 namespace rackroute::lab {
@@ -24,24 +23,24 @@
 
 class Relay {
  public:
-  /// Told of each datagram and each piece of a connection that arrives: from, to, bytes.
-  using Tell = std::function<void(std::uint32_t from, std::uint32_t to, std::size_t bytes)>;
+  /// Called for each datagram and each chunk of a connection.
+  using TrafficObserver = std::function<void(std::uint32_t from, std::uint32_t to, std::size_t bytes)>;
 
-  /// Network: the second number of all addresses, 127.N.x.x. Places: members, and a twin after them.
-  Relay(sidecar::Loop& loop, Ways& ways, std::uint32_t network, std::uint32_t members, std::uint32_t places,
-        Tell sent, Tell got);
+  /// Network: second octet of all addresses, 127.N.x.x. Places: the members, followed by a twin.
+  Relay(sidecar::Loop& loop, DrillNetwork& drillNetwork, std::uint32_t network, std::uint32_t members,
+        std::uint32_t places, TrafficObserver sent, TrafficObserver received);
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
   ~Relay();
 
-  /// Where a member listens, and where it is reached.
-  [[nodiscard]] std::string listens(std::uint32_t place, std::uint16_t port) const;
-  [[nodiscard]] std::string reached(std::uint32_t place) const;
-  /// Where the member finds what is at that address, from here on: bytes go on to it, and back, while they
-  /// may.
-  std::string forward(std::uint32_t member, const std::string& address, std::function<bool()> may);
-  /// When something was last lost between the member and those beyond, by the loop's clock.
-  [[nodiscard]] Span lostAt(std::uint32_t member) const { return lost_[member]; }
+  /// The address a member listens on, and the one it advertises.
+  [[nodiscard]] std::string listenAddress(std::uint32_t place, std::uint16_t port) const;
+  [[nodiscard]] std::string advertisedAddress(std::uint32_t place) const;
+  /// Opens a relay to the given address for the member and returns the relay's address. Traffic passes in
+  /// both directions while `allowed` returns true.
+  std::string forward(std::uint32_t member, const std::string& address, std::function<bool()> allowed);
+  /// Last time that traffic between the member and an outside address was dropped, by the loop's clock.
+  [[nodiscard]] Span lastLossAt(std::uint32_t member) const { return lastLoss_[member]; }
 
  private:
   friend class RelayLink;
@@ -55,34 +54,34 @@
     std::uint32_t place;
     Kind kind;
   };
-  struct Forward {  // to one that is no member
+  struct ForwardedAddress {  // relay to an address outside the members
     Poco::Net::ServerSocket listener;
     std::uint32_t member;
     std::string address;
-    std::function<bool()> may;
+    std::function<bool()> allowed;
   };
   void readable(Poco::Net::ReadableNotification* event);
   void watch(const Poco::Net::Socket& socket, std::uint32_t place, Kind kind);
   void read(std::uint32_t place);
   void accept(std::uint32_t place);
-  void acceptForward(const Forward& forward);
-  /// May: what passes goes beyond the members.
+  void acceptForward(const ForwardedAddress& forward);
+  /// A non-empty `allowed` marks traffic to an outside address.
   void join(const Poco::Net::StreamSocket& socket, std::uint32_t from, std::uint32_t to,
-            const std::string& address, const std::function<bool()>& may);
+            const std::string& address, const std::function<bool()>& allowed);
   [[nodiscard]] std::uint32_t memberOf(std::uint32_t place) const {
     return place < members_ ? place : members_ - 1;
   }
 
   sidecar::Loop& loop_;
-  Ways& ways_;
+  DrillNetwork& drillNetwork_;
   std::uint32_t network_;
   std::uint32_t members_;
-  Tell sent_;
-  Tell got_;
+  TrafficObserver sent_;
+  TrafficObserver received_;
   std::vector<std::unique_ptr<Place>> places_;
-  std::vector<Span> lost_;                            // by member
-  std::map<int, std::unique_ptr<Forward>> forwards_;  // by descriptor
-  std::map<int, Socket> sockets_;                     // by descriptor
+  std::vector<Span> lastLoss_;                                 // by member
+  std::map<int, std::unique_ptr<ForwardedAddress>> forwards_;  // by descriptor
+  std::map<int, Socket> sockets_;                              // by descriptor
   std::map<RelayLink*, std::shared_ptr<RelayLink>> links_;
 };
 
--- a/src/lab/fleet/virtual_fleet.cpp
+++ b/src/lab/fleet/virtual_fleet.cpp
@@ -9,8 +9,8 @@
 #include <utility>
 
 #include "fleet/membership.hpp"
-#include "lab/fleet/judge.hpp"
-#include "lab/fleet/ways.hpp"
+#include "lab/fleet/drill_checker.hpp"
+#include "lab/fleet/drill_network.hpp"
 #include "lab/timeline.hpp"
 
 namespace rackroute::lab {
@@ -20,13 +20,13 @@
 using fleet::Membership;
 using fleet::Message;
 
-constexpr Span kLook = 100ms;            // between two looks of the judge
-constexpr Span kDialTime = 1s;           // an exchange that does not come up by then fails
-constexpr std::size_t kBuffered = 1000;  // datagrams that wait for a frozen member; a socket's usual buffer
-constexpr std::uint64_t kEpoch = 1'700'000'000'000;  // ms; any time would do
-constexpr std::size_t kATurn = 64;  // of what waited, before its timers run; as the program's loop has it
-constexpr Span kTurn = 1ms;         // that such a turn takes
-constexpr std::size_t kHead = 60;   // bytes of a message beside its words
+constexpr Span kEvaluateInterval = 100ms;
+constexpr Span kExchangeTimeout = 1s;                // connection timeout of an exchange
+constexpr std::size_t kReceiveQueueLimit = 1000;     // datagrams queued for a frozen member
+constexpr std::uint64_t kEpoch = 1'700'000'000'000;  // ms; arbitrary
+constexpr std::size_t kBatchSize = 64;               // queued datagrams that are processed before timers run
+constexpr Span kBatchTime = 1ms;                     // duration of a batch
+constexpr std::size_t kMessageOverhead = 60;         // bytes of a message without its updates
 
 std::size_t sizeOf(const std::vector<fleet::Word>& words) {
   std::size_t size = 0;
@@ -38,7 +38,7 @@
 
 class VirtualFleet;
 
-/// A process with its sockets.
+/// A simulated process with its receive queue.
 struct Place : fleet::Surroundings {
   Place(VirtualFleet& fleet, std::uint32_t number) : fleet_(fleet), number_(number) {}
   void send(const std::string& address, const Message& message) override;
@@ -47,12 +47,12 @@
   void nameTaken(bool, const std::string&) override { ++taken; }
 
   VirtualFleet& fleet_;
-  std::uint32_t number_;  // of the place; a twin's lies beyond the members'
+  std::uint32_t number_;  // index of the place; the twin follows the members
   std::unique_ptr<Membership> membership;
   std::uint32_t starts = 0;
   bool frozen = false;
   Span wakesAt = Span::max();
-  std::deque<std::function<void(Membership&)>> waiting;  // what came while it was frozen
+  std::deque<std::function<void(Membership&)>> waiting;  // events received while frozen
   std::uint64_t taken = 0;
 };
 
@@ -61,9 +61,9 @@
   VirtualFleet(const Drill& drill, std::uint64_t seed)
       : drill_(drill),
         seed_(seed),
-        table_(draw(drill, seed)),
-        ways_(drill, table_, seed),
-        judge_(drill, table_, kLook) {
+        table_(drawTimetable(drill, seed)),
+        network_(drill, table_, seed),
+        checker_(drill, table_, kEvaluateInterval) {
     for (std::uint32_t i = 0; i < drill.members + kTwins; ++i) {
       places_.push_back(std::make_unique<Place>(*this, i));
       names_[fleet::memberId(nameOf(i))] = i;
@@ -95,19 +95,19 @@
     places_[place]->waiting.clear();
     places_[place]->frozen = false;
   }
-  void perform(const Deed& deed);
-  /// Does it now, or once the member is no more frozen; never if it has ended by then.
-  void at(std::uint32_t place, std::function<void(Membership&)> deed);
+  void perform(const ScheduledAction& action);
+  /// Runs the task now, or after the member resumes; dropped if the member has ended.
+  void at(std::uint32_t place, std::function<void(Membership&)> action);
   void arm(std::uint32_t place);
   void drain(std::uint32_t place);
-  void look();
+  void evaluate();
   [[nodiscard]] Span now() const { return timeline_.now(); }
 
   const Drill& drill_;
   std::uint64_t seed_;
   Timetable table_;
-  Ways ways_;
-  DrillJudge judge_;
+  DrillNetwork network_;
+  DrillChecker checker_;
   Timeline timeline_;
   std::vector<std::unique_ptr<Place>> places_;
   std::map<fleet::MemberId, std::uint32_t> names_;
@@ -127,53 +127,54 @@
   const auto to = addresses_.find(address);
   if (to == addresses_.end()) return;
   const std::uint32_t place = to->second;
-  const std::size_t bytes = kHead + fleet::sizeOf(message.self) + sizeOf(message.words);
-  judge_.sent(now(), memberOf(from), bytes);
+  const std::size_t bytes = kMessageOverhead + fleet::sizeOf(message.self) + sizeOf(message.words);
+  checker_.sent(now(), memberOf(from), bytes);
   std::shared_ptr<const Message> shared;
-  for (const Passage& passage : ways_.pass(memberOf(from), memberOf(place))) {
-    if (passage.spoilt) continue;  // it can't be read
+  for (const Delivery& delivery : network_.deliver(memberOf(from), memberOf(place))) {
+    if (delivery.corrupted) continue;  // discarded by the receiver
     if (!shared) shared = std::make_shared<const Message>(message);
-    timeline_.in(passage.delay, [this, place, bytes, shared] {
-      if (places_[place]->membership) judge_.got(now(), memberOf(place), bytes);
+    timeline_.in(delivery.delay, [this, place, bytes, shared] {
+      if (places_[place]->membership) checker_.received(now(), memberOf(place), bytes);
       at(place, [this, shared](Membership& member) { member.heard(now(), *shared); });
     });
   }
 }
 
-// Who asks says its digest and marks; the other tells what differs of its view, and is then told the first
-// one's of that.
+// The initiator sends its digest and bucket digests; the peer answers with the differing part of its view,
+// and the initiator then sends its own entries of that part.
 void VirtualFleet::exchange(std::uint32_t from, const std::string& address) {
   const auto found = addresses_.find(address);
   if (found == addresses_.end() || found->second == from) return;
   const std::uint32_t to = found->second;
-  const auto way = ways_.connects(memberOf(from), memberOf(to));
-  if (!way) return;
+  const auto requestDelay = network_.connectDelay(memberOf(from), memberOf(to));
+  if (!requestDelay) return;
   const fleet::Whole question = places_[from]->membership->question();
-  const Span until = now() + kDialTime;
-  const auto tell = [this](std::uint32_t one, std::uint32_t other, const fleet::Whole& whole,
-                           std::function<void(Membership&)> deed) {
-    const std::size_t bytes = kHead + fleet::sizeOf(whole.self) + sizeOf(whole.words) + sizeOf(whole.marks);
-    judge_.sent(now(), memberOf(one), bytes);
-    const auto back = ways_.connects(memberOf(one), memberOf(other));
-    if (!back) return;
-    timeline_.in(*back, [this, other, bytes, deed = std::move(deed)] {
-      judge_.got(now(), memberOf(other), bytes);
-      at(other, deed);
+  const Span until = now() + kExchangeTimeout;
+  const auto sendView = [this](std::uint32_t one, std::uint32_t other, const fleet::Whole& whole,
+                               std::function<void(Membership&)> action) {
+    const std::size_t bytes =
+        kMessageOverhead + fleet::sizeOf(whole.self) + sizeOf(whole.words) + sizeOf(whole.marks);
+    checker_.sent(now(), memberOf(one), bytes);
+    const auto responseDelay = network_.connectDelay(memberOf(one), memberOf(other));
+    if (!responseDelay) return;
+    timeline_.in(*responseDelay, [this, other, bytes, action = std::move(action)] {
+      checker_.received(now(), memberOf(other), bytes);
+      at(other, action);
     });
   };
-  const std::size_t size = kHead + fleet::sizeOf(question.self) + sizeOf(question.marks);
-  judge_.sent(now(), memberOf(from), size);
-  timeline_.in(2 * *way, [this, from, to, question, size, until, tell] {
-    judge_.got(now(), memberOf(to), size);
-    at(to, [this, from, to, question, until, tell](Membership& asked) {
-      if (now() > until || asked.displaced() || asked.digest() == question.digest) return;
-      asked.merge(now(), question);
-      const auto theirs = std::make_shared<const fleet::Whole>(asked.whole(now(), question.marks));
-      tell(to, from, *theirs, [this, from, to, theirs, tell](Membership& asker) {
-        const auto own = std::make_shared<const fleet::Whole>(asker.whole(now(), theirs->marks));
-        const bool fresh = own->words.empty();  // all that it can tell stood in its question
-        asker.merge(now(), *theirs);
-        if (!fresh) tell(from, to, *own, [this, own](Membership& other) { other.merge(now(), *own); });
+  const std::size_t size = kMessageOverhead + fleet::sizeOf(question.self) + sizeOf(question.marks);
+  checker_.sent(now(), memberOf(from), size);
+  timeline_.in(2 * *requestDelay, [this, from, to, question, size, until, sendView] {
+    checker_.received(now(), memberOf(to), size);
+    at(to, [this, from, to, question, until, sendView](Membership& peer) {
+      if (now() > until || peer.displaced() || peer.digest() == question.digest) return;
+      peer.merge(now(), question);
+      const auto peerView = std::make_shared<const fleet::Whole>(peer.whole(now(), question.marks));
+      sendView(to, from, *peerView, [this, from, to, peerView, sendView](Membership& initiator) {
+        const auto own = std::make_shared<const fleet::Whole>(initiator.whole(now(), peerView->marks));
+        const bool fresh = own->words.empty();  // the request already contained all of it
+        initiator.merge(now(), *peerView);
+        if (!fresh) sendView(from, to, *own, [this, own](Membership& other) { other.merge(now(), *own); });
       });
     });
   });
@@ -182,17 +183,17 @@
 void VirtualFleet::changed(std::uint32_t observer, const fleet::Held& member) {
   if (observer >= drill_.members) return;
   if (const auto at = names_.find(member.id); at != names_.end() && at->second < drill_.members)
-    judge_.sees(now(), observer, at->second, member.state);
+    checker_.observes(now(), observer, at->second, member.state);
 }
 
-void VirtualFleet::at(std::uint32_t place, std::function<void(Membership&)> deed) {
+void VirtualFleet::at(std::uint32_t place, std::function<void(Membership&)> action) {
   Place& here = *places_[place];
   if (!here.membership) return;
   if (here.frozen || !here.waiting.empty()) {
-    if (here.waiting.size() < kBuffered) here.waiting.push_back(std::move(deed));
+    if (here.waiting.size() < kReceiveQueueLimit) here.waiting.push_back(std::move(action));
     return;
   }
-  deed(*here.membership);
+  action(*here.membership);
   arm(place);
 }
 
@@ -211,22 +212,22 @@
   });
 }
 
-// One that woke reads a turn's datagrams of those that waited, then its timers run, then the next: what is
-// still unread then may be the answer to what a timer takes for lost.
+// A resumed member alternates between a batch of queued datagrams and its timers, as the event loop of the
+// program does: an unread datagram may be the answer to a probe that a timer considers lost.
 void VirtualFleet::drain(std::uint32_t place) {
   Place& here = *places_[place];
   if (!here.membership || here.frozen) return;
-  for (std::size_t i = 0; i < kATurn && !here.waiting.empty(); ++i) {
-    const auto deed = std::move(here.waiting.front());
+  for (std::size_t i = 0; i < kBatchSize && !here.waiting.empty(); ++i) {
+    const auto action = std::move(here.waiting.front());
     here.waiting.pop_front();
-    deed(*here.membership);
+    action(*here.membership);
   }
   if (here.membership->due() <= now()) here.membership->wake(now());
   if (here.waiting.empty()) {
     here.wakesAt = Span::max();
     return arm(place);
   }
-  timeline_.in(kTurn, [this, place, starts = here.starts] {
+  timeline_.in(kBatchTime, [this, place, starts = here.starts] {
     if (places_[place]->starts == starts) drain(place);
   });
 }
@@ -244,45 +245,45 @@
   rhythm.most = 2 * std::max<std::size_t>(drill_.members, 1000);
   const auto start = kEpoch + static_cast<std::uint64_t>(now() / 1ms);
   const std::string zone = std::string("z").append(std::to_string(place % drill_.zones));
-  Chance chance = chanceOf(seed_, Purpose::policy, place * 1000ULL + here.starts);
+  RandomEngine engine = makeRandomEngine(seed_, Purpose::policy, place * 1000ULL + here.starts);
   here.membership = std::make_unique<Membership>(fleet::Card{name, addressOf(place), zone}, start, join,
-                                                 rhythm, chance(), here);
+                                                 rhythm, engine(), here);
 }
 
-void VirtualFleet::perform(const Deed& deed) {
-  if (deed.kind == Deed::Kind::faultBegins) return ways_.begins(deed.member);
-  if (deed.kind == Deed::Kind::faultEnds) return ways_.ends(deed.member);
-  Place& here = *places_[deed.member];
-  switch (deed.kind) {
-    case Deed::Kind::start:
-      judge_.started(now(), deed.member);
-      start(deed.member, nameOf(deed.member));
+void VirtualFleet::perform(const ScheduledAction& action) {
+  if (action.kind == ScheduledAction::Kind::faultBegins) return network_.begins(action.member);
+  if (action.kind == ScheduledAction::Kind::faultEnds) return network_.ends(action.member);
+  Place& here = *places_[action.member];
+  switch (action.kind) {
+    case ScheduledAction::Kind::start:
+      checker_.started(now(), action.member);
+      start(action.member, nameOf(action.member));
       here.membership->begin(now());
-      arm(deed.member);
+      arm(action.member);
       break;
-    case Deed::Kind::leave:
+    case ScheduledAction::Kind::leave:
       if (here.membership) here.membership->leave(now());
       [[fallthrough]];
-    case Deed::Kind::kill:
-      stop(deed.member);
-      judge_.ended(now(), deed.member);
+    case ScheduledAction::Kind::kill:
+      stop(action.member);
+      checker_.ended(now(), action.member);
       break;
-    case Deed::Kind::freeze:
+    case ScheduledAction::Kind::freeze:
       here.frozen = here.membership != nullptr;
-      judge_.frozen(now(), deed.member, here.frozen);
+      checker_.frozen(now(), action.member, here.frozen);
       break;
-    case Deed::Kind::wake:
+    case ScheduledAction::Kind::wake:
       here.frozen = false;
-      judge_.frozen(now(), deed.member, false);
-      drain(deed.member);
+      checker_.frozen(now(), action.member, false);
+      drain(action.member);
       break;
-    case Deed::Kind::deaf:
-    case Deed::Kind::hears:
-      ways_.hears(deed.member, deed.kind == Deed::Kind::hears);
-      judge_.frozen(now(), deed.member, deed.kind == Deed::Kind::deaf);
+    case ScheduledAction::Kind::deaf:
+    case ScheduledAction::Kind::receives:
+      network_.setReceiving(action.member, action.kind == ScheduledAction::Kind::receives);
+      checker_.frozen(now(), action.member, action.kind == ScheduledAction::Kind::deaf);
       break;
-    case Deed::Kind::twin:
-      start(drill_.members, nameOf(deed.member));
+    case ScheduledAction::Kind::twin:
+      start(drill_.members, nameOf(action.member));
       places_[drill_.members]->membership->begin(now());
       arm(drill_.members);
       break;
@@ -291,41 +292,43 @@
   }
 }
 
-void VirtualFleet::look() {
+void VirtualFleet::evaluate() {
   for (std::uint32_t i = 0; i < drill_.members; ++i) {
     if (const auto& membership = places_[i]->membership)
-      judge_.says(i, membership->hearing(), membership->safeCount());
+      checker_.reports(i, membership->hearing(), membership->safeCount());
   }
-  judge_.look(now());
-  timeline_.in(kLook, [this] { look(); });
+  checker_.evaluate(now());
+  timeline_.in(kEvaluateInterval, [this] { evaluate(); });
 }
 
 Json VirtualFleet::run(const std::function<void(double)>& progress) {
   if (drill_.warm) {
     std::vector<fleet::Word> words;
     for (std::uint32_t i = 0; i < drill_.members; ++i) {
-      judge_.started({}, i);
+      checker_.started({}, i);
       start(i, nameOf(i));
       words.push_back(places_[i]->membership->self());
     }
     std::ranges::sort(words, {}, &fleet::Word::id);
-    judge_.warm();
+    checker_.allMembersKnown();
     for (std::uint32_t i = 0; i < drill_.members; ++i) {
       places_[i]->membership->know({}, words);
       places_[i]->membership->begin({});
       arm(i);
     }
-    std::erase_if(table_.deeds,
-                  [](const Deed& deed) { return deed.kind == Deed::Kind::start && deed.at == Span{}; });
+    std::erase_if(table_.actions, [](const ScheduledAction& action) {
+      return action.kind == ScheduledAction::Kind::start && action.at == Span{};
+    });
   }
-  for (const Deed& deed : table_.deeds) timeline_.at(deed.at, [this, deed] { perform(deed); });
-  timeline_.in(kLook, [this] { look(); });
+  for (const ScheduledAction& action : table_.actions)
+    timeline_.at(action.at, [this, action] { perform(action); });
+  timeline_.in(kEvaluateInterval, [this] { evaluate(); });
   for (Span next{}; timeline_.step(drill_.length);) {
     if (!progress || now() < next) continue;
     progress(seconds(now()) / seconds(drill_.length));
     next = now() + 1s;
   }
-  Json run = judge_.finish(drill_.length);
+  Json run = checker_.finish(drill_.length);
   run["seed"] = seed_;
   run["clock"] = "virtual";
   std::uint64_t taken = 0;
@@ -352,11 +355,11 @@
 
 }  // namespace
 
-Json playDrillVirtual(const Drill& drill, std::uint64_t seed,
-                      const std::function<void(double done)>& progress) {
+Json runDrillVirtual(const Drill& drill, std::uint64_t seed,
+                     const std::function<void(double done)>& progress) {
   for (const Fault& fault : drill.faults) {
     if (fault.kind == FaultKind::noDiscovery || fault.kind == FaultKind::noServers)
-      throw BadScenario(drill.file + ": fault: no_discovery and no_servers go with processes beside queries");
+      throw BadScenario(drill.file + ": fault: no_discovery and no_servers require processes with queries");
   }
   return VirtualFleet(drill, seed).run(progress);
 }
--- a/src/lab/fleet/virtual_fleet.hpp
+++ b/src/lab/fleet/virtual_fleet.hpp
@@ -1,17 +1,17 @@
 #pragma once
 
-// A drill in virtual time: the same src/fleet/ code as in the program, thousands of members, no sockets.
+// A drill in virtual time: thousands of members that run the membership code of src/fleet/, without sockets.
 
 #include <cstdint>
 #include <functional>
 
 #include "lab/fleet/drill.hpp"
-#include "lab/tally.hpp"
+#include "lab/run_statistics.hpp"
 
 namespace rackroute::lab {
 
-/// The judge's JSON, with figures of the members themselves added.
-[[nodiscard]] Json playDrillVirtual(const Drill& drill, std::uint64_t seed,
-                                    const std::function<void(double done)>& progress = {});
+/// Returns the JSON of the checker, extended by counters of the members.
+[[nodiscard]] Json runDrillVirtual(const Drill& drill, std::uint64_t seed,
+                                   const std::function<void(double done)>& progress = {});
 
 }  // namespace rackroute::lab
--- a/src/lab/mesh/day.cpp
+++ b/src/lab/mesh/day.cpp
@@ -5,7 +5,7 @@
 #include <sstream>
 #include <utility>
 
-#include "lab/section.hpp"
+#include "lab/toml_section.hpp"
 
 namespace rackroute::lab::mesh {
 namespace {
@@ -72,38 +72,38 @@
   Section top(&table, "", file);
   Day day;
   day.name = top.text("name", "day");
-  day.zones = top.whole("zones", day.zones, 1, 20);
-  day.controls = top.whole("controls", day.controls, 1, 20);
-  day.sidecars = top.whole("sidecars", day.sidecars, 1, 2000);
-  day.seconds = top.number("length_s", day.seconds, 1, kLongest);
+  day.zones = top.integer("zones", day.zones, 1, 20);
+  day.controls = top.integer("controls", day.controls, 1, 20);
+  day.sidecars = top.integer("sidecars", day.sidecars, 1, 2000);
+  day.seconds = top.number("length_s", day.seconds, 1, kMaxDurationSeconds);
   day.perSecond = top.number("per_s", day.perSecond, 0, 1e6);
   day.keyed = top.number("keyed", day.keyed, 0, 1);
   day.effectful = top.number("effectful", day.effectful, 0, 1);
   day.again = top.number("again", day.again, 0, 1);
   day.leaving = top.number("leaving", day.leaving, 0, 1);
-  day.slots = top.whole("slots", day.slots, 1, 10000);
+  day.slots = top.integer("slots", day.slots, 1, 10000);
   day.work = top.number("work_s", day.work, 0.001, 100);
   day.sync = top.number("sync_s", day.sync, 0, 10);
   day.across = top.number("across_s", day.across, 0, 10);
-  day.keyWindow = top.number("key_window_s", day.keyWindow, 1, kLongest);
-  day.idleRoutes = top.whole("idle_routes", day.idleRoutes, 0, 100'000);
+  day.keyWindow = top.number("key_window_s", day.keyWindow, 1, kMaxDurationSeconds);
+  day.idleRoutes = top.integer("idle_routes", day.idleRoutes, 0, 100'000);
   day.leastServed = top.number("least_served", 0, 0, 1);
-  day.clientsStay = top.yes("clients_stay", day.clientsStay);
+  day.clientsStay = top.boolean("clients_stay", day.clientsStay);
   const std::string closing = top.text("closing", "none");
   const auto ends = std::find_if(kClosingFaults.begin(), kClosingFaults.end(),
                                  [&](const auto& e) { return e.first == closing; });
   if (ends == kClosingFaults.end()) top.fail("closing", "is no closing fault");
   day.closing = ends->second;
-  for (Section& entry : top.each("trouble")) {
+  for (Section& entry : top.tables("trouble")) {
     Trouble trouble;
     const std::string kind = entry.text("kind", "");
     const auto known = std::find_if(kTroubleKinds.begin(), kTroubleKinds.end(),
                                     [&](const auto& e) { return e.first == kind; });
     if (known == kTroubleKinds.end()) entry.fail("kind", "is no trouble");
     trouble.kind = known->second;
-    trouble.at = entry.number("at_s", 5, 0, kLongest);
-    trouble.lasts = entry.number("for_s", 3, 0, kLongest);
-    trouble.who = entry.whole("who", 0, 0, 1e6);
+    trouble.at = entry.number("at_s", 5, 0, kMaxDurationSeconds);
+    trouble.lasts = entry.number("for_s", 3, 0, kMaxDurationSeconds);
+    trouble.who = entry.integer("who", 0, 0, 1e6);
     trouble.part = entry.number("part", 0.05, -1000, 1000);
     entry.close();
     day.troubles.push_back(trouble);
--- a/src/lab/mesh/day_draw.cpp
+++ b/src/lab/mesh/day_draw.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "lab/draws.hpp"
 #include "lab/mesh/day.hpp"
+#include "lab/random.hpp"
 
 namespace rackroute::lab::mesh {
 namespace {
@@ -58,7 +58,8 @@
 
 class DayDrawer {
  public:
-  DayDrawer(std::uint64_t seed, const Day& size) : day_(size), chance_(chanceOf(seed, Purpose::troubles)) {
+  DayDrawer(std::uint64_t seed, const Day& size)
+      : day_(size), chance_(makeRandomEngine(seed, Purpose::troubles)) {
     day_.name = "drawn-" + std::to_string(seed);
     day_.controls = day_.zones = 3 + number(3);
     lanes_.resize(day_.controls == 5 ? 2 : 1);
@@ -78,7 +79,7 @@
   }
 
  private:
-  double between(double least, double most) { return least + fraction(chance_) * (most - least); }
+  double between(double least, double most) { return least + uniform01(chance_) * (most - least); }
   std::uint32_t number(std::uint32_t below) { return static_cast<std::uint32_t>(between(0, below - 0.001)); }
   [[nodiscard]] double lastEnd() const { return day_.seconds - kBeforeClosing; }
 
@@ -125,14 +126,14 @@
 
   // The process beside a server that leaves ends before the server does.
   void addKillsBeside(const Trouble& release) {
-    if (fraction(chance_) < 0.3) return;
+    if (uniform01(chance_) < 0.3) return;
     const double first = release.at + between(0.5, kLeaving);
     for (const double at : {first, first + between(0.4, kLeaving)})
       day_.troubles.push_back({TroubleKind::killSidecar, at, 0, release.who, 0});
   }
 
   void addRace(double at) {
-    const TroubleKind kind = fraction(chance_) < 0.5 ? TroubleKind::race : TroubleKind::raceMany;
+    const TroubleKind kind = uniform01(chance_) < 0.5 ? TroubleKind::race : TroubleKind::raceMany;
     day_.troubles.push_back({kind, at, 0, number(1000), 0});
   }
 
@@ -163,16 +164,16 @@
     if (trouble.kind == TroubleKind::diskFull || trouble.kind == TroubleKind::diskStall) {
       for (int i = 0; i < 3; ++i) addRace(trouble.at + between(0, trouble.lasts));
     }
-    if (losesDisk(trouble.kind) && fraction(chance_) < kSecondLossShare) addSecondLoss(lane);
+    if (losesDisk(trouble.kind) && uniform01(chance_) < kSecondLossShare) addSecondLoss(lane);
   }
 
   void shape(Trouble& trouble) {
     if (trouble.kind == TroubleKind::diskSlow) trouble.part = between(4, 30);
     if (trouble.kind == TroubleKind::diskFull) trouble.lasts = between(2, 10);
     if (trouble.kind == TroubleKind::resetControl) trouble.part = between(0.3, 1);
-    if (trouble.kind == TroubleKind::clockStep) trouble.part = fraction(chance_) < 0.5 ? -2 : 2;
+    if (trouble.kind == TroubleKind::clockStep) trouble.part = uniform01(chance_) < 0.5 ? -2 : 2;
     if (losesDisk(trouble.kind)) trouble.part = between(0.3, 3);
-    const bool longCut = cutsControl(trouble.kind) && fraction(chance_) < kLongCutShare;
+    const bool longCut = cutsControl(trouble.kind) && uniform01(chance_) < kLongCutShare;
     if (longCut) {
       const double room = lastEnd() - kCatchUpSeconds - trouble.at;
       trouble.lasts = std::max(trouble.lasts, std::min(kLongCut, room));
@@ -222,7 +223,7 @@
   }
 
   Day day_;
-  Chance chance_;
+  RandomEngine chance_;
   std::vector<Lane> lanes_;
 };
 
--- a/src/lab/mesh/day_soak.cpp
+++ b/src/lab/mesh/day_soak.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "lab/draws.hpp"
 #include "lab/mesh/day.hpp"
+#include "lab/random.hpp"
 
 namespace rackroute::lab::mesh {
 namespace {
@@ -20,7 +20,8 @@
 
 class SoakDrawer {
  public:
-  SoakDrawer(std::uint64_t seed, const Day& size) : day_(size), chance_(chanceOf(seed, Purpose::troubles)) {
+  SoakDrawer(std::uint64_t seed, const Day& size)
+      : day_(size), chance_(makeRandomEngine(seed, Purpose::troubles)) {
     day_.name = "soak-" + std::to_string(seed);
     day_.clientsStay = true;
     if (seed % kCrowdEvery == 0) day_.sidecars = kCrowd - day_.controls;
@@ -39,7 +40,7 @@
   }
 
  private:
-  double between(double least, double most) { return least + fraction(chance_) * (most - least); }
+  double between(double least, double most) { return least + uniform01(chance_) * (most - least); }
   std::uint32_t number(std::size_t below) {
     return static_cast<std::uint32_t>(between(0, static_cast<double>(below) - 0.001));
   }
@@ -56,7 +57,7 @@
     const std::uint32_t length = 1 + number(kLongestSeries);
     for (std::uint32_t i = 0; i < length; ++i) {
       Trouble trouble{kKinds[number(std::size(kKinds))], at, between(0.2, kLongestFreeze), first, 0.1};
-      if (fraction(chance_) < 0.3) trouble.who = number(1000);
+      if (uniform01(chance_) < 0.3) trouble.who = number(1000);
       if (trouble.kind == TroubleKind::serverSlow) trouble.part = between(2, 10);
       day_.troubles.push_back(trouble);
       at += between(0, kWithin);
@@ -64,13 +65,13 @@
   }
 
   void addControlLoss(double at) {
-    if (at < controlsFreeAt_ || fraction(chance_) < 0.5) return;
-    const bool all = fraction(chance_) < kAllKilledShare;
+    if (at < controlsFreeAt_ || uniform01(chance_) < 0.5) return;
+    const bool all = uniform01(chance_) < kAllKilledShare;
     const std::uint32_t who = number(day_.controls);
     if (all) {
       for (std::uint32_t control = 0; control < day_.controls; ++control)
         day_.troubles.push_back({TroubleKind::killControl, at, 0, control, 0});
-    } else if (fraction(chance_) < 0.5) {
+    } else if (uniform01(chance_) < 0.5) {
       day_.troubles.push_back({TroubleKind::wipeControl, at, between(0.2, kLongestFreeze), who, 0});
     } else {
       day_.troubles.push_back({TroubleKind::freezeControl, at, between(0.2, kLongestFreeze), who, 0});
@@ -79,7 +80,7 @@
   }
 
   Day day_;
-  Chance chance_;
+  RandomEngine chance_;
   double controlsFreeAt_ = 0;
 };
 
--- a/src/lab/mesh/emulated.hpp
+++ b/src/lab/mesh/emulated.hpp
@@ -15,11 +15,11 @@
 #include <set>
 #include <utility>
 
-#include "lab/draws.hpp"
 #include "lab/mesh/emulated_files.hpp"
 #include "lab/mesh/orders.hpp"
 #include "lab/mesh/workload.hpp"
 #include "lab/mesh/world.hpp"
+#include "lab/random.hpp"
 #include "mesh/control/control_node.hpp"
 #include "mesh/sidecar/sidecar.hpp"
 #include "mesh/storage/database.hpp"
@@ -53,10 +53,10 @@
   World(const Day& day, std::uint64_t seed)
       : day_(day),
         seed_(seed),
-        network_(chanceOf(seed, Purpose::network)),
-        arrivals_(chanceOf(seed, Purpose::arrivals)),
-        clients_(chanceOf(seed, Purpose::clients)),
-        operators_(chanceOf(seed, Purpose::policy)),
+        network_(makeRandomEngine(seed, Purpose::network)),
+        arrivals_(makeRandomEngine(seed, Purpose::arrivals)),
+        clients_(makeRandomEngine(seed, Purpose::clients)),
+        operators_(makeRandomEngine(seed, Purpose::policy)),
         judge_({kDrain, kApply, span(day.keyWindow), 10s, kRetryRatio, kRetrySlack}),
         ledger_(judge_) {}
 
@@ -174,7 +174,7 @@
   }
   [[nodiscard]] Span delay(std::size_t a, std::size_t b) {
     const double base = machines_[a].zone == machines_[b].zone ? day_.across / 4 : day_.across;
-    return span(base * (1 + 0.5 * fraction(network_)) + 0.00002);
+    return span(base * (1 + 0.5 * uniform01(network_)) + 0.00002);
   }
   [[nodiscard]] bool isCut(std::size_t from, std::size_t to) const { return cuts_.count({from, to}) > 0; }
 
@@ -262,7 +262,7 @@
   void storm(const Trouble& trouble);
   void stormOrder(Span pace, const std::shared_ptr<std::uint32_t>& left);
   [[nodiscard]] std::map<std::uint32_t, std::uint64_t> someRoutes(std::uint32_t least, std::uint32_t most);
-  [[nodiscard]] bool answerLost() { return now_ < answersLostUntil_ && fraction(operators_) < answersLost_; }
+  [[nodiscard]] bool answerLost() { return now_ < answersLostUntil_ && uniform01(operators_) < answersLost_; }
   void readBack(std::uint32_t control, int tries);
   [[nodiscard]] std::size_t listed(std::uint32_t number) const { return listed_[number % listed_.size()]; }
 
@@ -314,7 +314,7 @@
 
   Day day_;
   std::uint64_t seed_;
-  Chance network_, arrivals_, clients_, operators_;
+  RandomEngine network_, arrivals_, clients_, operators_;
   Judge judge_;
   OrderLedger ledger_;
   Span now_{};
--- a/src/lab/mesh/emulated_files.cpp
+++ b/src/lab/mesh/emulated_files.cpp
@@ -92,7 +92,7 @@
   return Status::OK();
 }
 
-void EmulatedFiles::restart(bool power, Chance& chance) {
+void EmulatedFiles::restart(bool power, RandomEngine& chance) {
   left_.reset();
   scheduled_.clear();
   if (power) losePower(chance);
@@ -106,9 +106,9 @@
   unsyncedNames_.clear();
 }
 
-void EmulatedFiles::losePower(Chance& chance) {
+void EmulatedFiles::losePower(RandomEngine& chance) {
   for (const NameChange& change : unsyncedNames_) {
-    if (fraction(chance) < 0.5) apply(change, durableNames_, durableFolders_);
+    if (uniform01(chance) < 0.5) apply(change, durableNames_, durableFolders_);
   }
   unsyncedNames_.clear();
   // A file in a folder whose own name is lost can't be reached any more.
@@ -120,15 +120,15 @@
 }
 
 // A write that is missing before one that is present leaves zeros in its place.
-void EmulatedFiles::loseUnsynced(File& file, Chance& chance) {
-  const bool allLost = fraction(chance) < kAllLostShare;
+void EmulatedFiles::loseUnsynced(File& file, RandomEngine& chance) {
+  const bool allLost = uniform01(chance) < kAllLostShare;
   for (const Write& write : file.unsynced) {
-    const double fate = allLost ? 1 : fraction(chance);
+    const double fate = allLost ? 1 : uniform01(chance);
     if (fate >= 2.0 / 3) continue;
     const bool torn = fate >= 1.0 / 3;
     const std::size_t size = torn ? write.bytes.size() / kHalf : write.bytes.size();
     // The file's length may cover what its blocks don't hold yet.
-    const bool longer = torn && fraction(chance) < 0.5;
+    const bool longer = torn && uniform01(chance) < 0.5;
     const std::size_t end = write.at + (longer ? write.bytes.size() : size);
     if (file.durable.size() < end) file.durable.resize(end, '\0');
     std::copy_n(write.bytes.begin(), size, file.durable.begin() + static_cast<std::ptrdiff_t>(write.at));
--- a/src/lab/mesh/emulated_files.hpp
+++ b/src/lab/mesh/emulated_files.hpp
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-#include "lab/draws.hpp"
+#include "lab/random.hpp"
 #include "mesh/storage/durable_env.hpp"
 
 namespace rackroute::lab::mesh {
@@ -38,7 +38,7 @@
   /// The process ends after so many further changes of files and names: the next one and all after it fail.
   void endAfter(std::uint64_t changes) { left_ = changes; }
   /// The files as the next process finds them. `power`: after a loss of power, else after the process's end.
-  void restart(bool power, Chance& chance);
+  void restart(bool power, RandomEngine& chance);
   /// The disk is lost with all that was on it.
   void wipe();
   /// Changes of files and names so far.
@@ -96,8 +96,8 @@
   leveldb::Status sync(const FilePtr& file);
   leveldb::Status syncFolder(const std::string& folder);
   void note(NameChange change) { unsyncedNames_.push_back(std::move(change)); }
-  void losePower(Chance& chance);
-  static void loseUnsynced(File& file, Chance& chance);
+  void losePower(RandomEngine& chance);
+  static void loseUnsynced(File& file, RandomEngine& chance);
   static void apply(const NameChange& change, Names& names, std::set<std::string>& folders);
 
   Names names_;  // as the running machine sees them, by path
--- a/src/lab/mesh/forward_relay.cpp
+++ b/src/lab/mesh/forward_relay.cpp
@@ -59,9 +59,9 @@
   enum class Fault { before, after, late, answer, both };
 
   void fromCaller(std::string bytes) {
-    if (fraction(relay_.chance_) >= relay_.part_) return sidecar_->write(std::move(bytes));
+    if (uniform01(relay_.chance_) >= relay_.part_) return sidecar_->write(std::move(bytes));
     ++relay_.resets_;
-    switch (static_cast<Fault>(static_cast<int>(fraction(relay_.chance_) * 5))) {
+    switch (static_cast<Fault>(static_cast<int>(uniform01(relay_.chance_) * 5))) {
       case Fault::before:
         caller_->cut();
         return;
@@ -109,7 +109,7 @@
   }
 
   void in(Span most, std::function<void()> task) {
-    const Span wait = std::chrono::duration_cast<Span>(most * fraction(relay_.chance_));
+    const Span wait = std::chrono::duration_cast<Span>(most * uniform01(relay_.chance_));
     relay_.loop_.in(wait, [self = shared_from_this(), task = std::move(task)] { task(); });
   }
 
@@ -128,7 +128,7 @@
 };
 
 ForwardRelay::ForwardRelay(sidecar::Loop& loop, const rackroute::mesh::Address& at,
-                           rackroute::mesh::Address to, Chance& chance)
+                           rackroute::mesh::Address to, RandomEngine& chance)
     : loop_(loop),
       to_(std::move(to)),
       chance_(chance),
--- a/src/lab/mesh/forward_relay.hpp
+++ b/src/lab/mesh/forward_relay.hpp
@@ -9,7 +9,7 @@
 #include <set>
 #include <string>
 
-#include "lab/draws.hpp"
+#include "lab/random.hpp"
 #include "mesh/names.hpp"
 #include "mesh/transport/listener.hpp"
 #include "sidecar/loop.hpp"
@@ -21,7 +21,7 @@
 class ForwardRelay {
  public:
   ForwardRelay(sidecar::Loop& loop, const rackroute::mesh::Address& at, rackroute::mesh::Address to,
-               Chance& chance);
+               RandomEngine& chance);
   ForwardRelay(const ForwardRelay&) = delete;
   ForwardRelay& operator=(const ForwardRelay&) = delete;
   ~ForwardRelay();
@@ -35,7 +35,7 @@
 
   sidecar::Loop& loop_;
   rackroute::mesh::Address to_;
-  Chance& chance_;
+  RandomEngine& chance_;
   rackroute::mesh::Listener listener_;
   std::set<std::shared_ptr<ForwardRelayPair>> pairs_;
   double part_ = 0;
--- a/src/lab/mesh/process_children.cpp
+++ b/src/lab/mesh/process_children.cpp
@@ -123,7 +123,7 @@
 }
 
 void ProcessChildren::look() {
-  for (const std::size_t place : children_.endedByThemselves()) {
+  for (const std::size_t place : children_.takeUnexpectedExits()) {
     context_.judge.failed(context_.now(), "ENDED",
                           context_.machines.nameOf(static_cast<std::uint32_t>(place)) + " ended by itself");
   }
--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -26,10 +26,11 @@
 
 void ProcessClients::arrive() {
   if (context_.now() >= context_.end || context_.day.perSecond <= 0) return;
-  context_.loop.in(spanOf(-std::log(1 - fraction(arrivals_)) / context_.day.perSecond), [this] { arrive(); });
+  context_.loop.in(spanOf(-std::log(1 - uniform01(arrivals_)) / context_.day.perSecond),
+                   [this] { arrive(); });
   Wanted wanted;
-  const double kind = fraction(arrivals_);
-  const bool other = fraction(arrivals_) < 0.4;
+  const double kind = uniform01(arrivals_);
+  const bool other = uniform01(arrivals_) < 0.4;
   if (kind < context_.day.keyed) {
     wanted.route = other ? 2 : 1;
     wanted.key = "k" + std::to_string(++keys_);
@@ -133,11 +134,11 @@
 // Some keyed ones come once more after a good answer.
 void ProcessClients::again(const Wanted& wanted) {
   const RouteTold& route = kRoutes[wanted.route];
-  if (route.sort != Sort::keyed || wanted.again || fraction(chance_) >= context_.day.again) return;
+  if (route.sort != Sort::keyed || wanted.again || uniform01(chance_) >= context_.day.again) return;
   Wanted next = wanted;
   next.again = true;
   next.until = context_.now() + spanOf(route.deadline) + 1s;
-  context_.loop.in(spanOf(fraction(chance_)), [this, next] { ask(anySidecar(), next); });
+  context_.loop.in(spanOf(uniform01(chance_)), [this, next] { ask(anySidecar(), next); });
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/process_clients.hpp
+++ b/src/lab/mesh/process_clients.hpp
@@ -10,9 +10,9 @@
 #include <set>
 #include <string>
 
-#include "lab/draws.hpp"
 #include "lab/mesh/process_context.hpp"
 #include "lab/mesh/process_servers.hpp"
+#include "lab/random.hpp"
 
 namespace rackroute::lab::mesh {
 
@@ -20,8 +20,8 @@
  public:
   /// disturbedAt: when a machine's process was last killed or frozen.
   using DisturbedAt = std::function<Span(std::uint32_t machine)>;
-  ProcessClients(ProcessContext& context, const ProcessServers& servers, Chance& arrivals, Chance& chance,
-                 DisturbedAt disturbedAt)
+  ProcessClients(ProcessContext& context, const ProcessServers& servers, RandomEngine& arrivals,
+                 RandomEngine& chance, DisturbedAt disturbedAt)
       : context_(context),
         servers_(servers),
         arrivals_(arrivals),
@@ -51,13 +51,13 @@
   void check(const Wanted& wanted, std::uint64_t attempt, const http::Message& answer);
   void again(const Wanted& wanted);
   [[nodiscard]] std::uint32_t anySidecar() {
-    return context_.machines.sidecar(static_cast<std::uint32_t>(fraction(chance_) * context_.day.sidecars));
+    return context_.machines.sidecar(static_cast<std::uint32_t>(uniform01(chance_) * context_.day.sidecars));
   }
 
   ProcessContext& context_;
   const ProcessServers& servers_;
-  Chance& arrivals_;
-  Chance& chance_;
+  RandomEngine& arrivals_;
+  RandomEngine& chance_;
   DisturbedAt disturbedAt_;
   std::map<std::uint64_t, Open> open_;                // attempts without an answer
   std::map<std::uint64_t, std::uint32_t> machineOf_;  // by attempt
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -162,7 +162,7 @@
   const Span wait =
       std::chrono::duration_cast<Span>(std::chrono::duration<double>(takes.draw(chance_) * server.slow));
   const Span done = context_.now() + wait;
-  const double luck = fraction(chance_);
+  const double luck = uniform01(chance_);
   context_.loop.at(
       context_.zero + std::min(done, asked.giveUp),
       [this, machine, connection, asked, seal, luck, life = server.lives, inTime = done <= asked.giveUp] {
--- a/src/lab/mesh/process_servers.hpp
+++ b/src/lab/mesh/process_servers.hpp
@@ -10,8 +10,8 @@
 #include <memory>
 #include <string>
 
-#include "lab/draws.hpp"
 #include "lab/mesh/process_context.hpp"
+#include "lab/random.hpp"
 #include "mesh/transport/http_server_connection.hpp"
 #include "mesh/transport/listener.hpp"
 
@@ -20,7 +20,8 @@
 class ProcessServers {
  public:
   /// callerOf: the service on the machine where a client sent the attempt.
-  ProcessServers(ProcessContext& context, Chance& chance, std::function<int(std::uint64_t attempt)> callerOf)
+  ProcessServers(ProcessContext& context, RandomEngine& chance,
+                 std::function<int(std::uint64_t attempt)> callerOf)
       : context_(context), chance_(chance), callerOf_(std::move(callerOf)) {}
 
   /// Its listener, for all lives; throws Poco's exceptions where the address can't be had.
@@ -76,7 +77,7 @@
               bool inTime, double luck);
 
   ProcessContext& context_;
-  Chance& chance_;
+  RandomEngine& chance_;
   std::function<int(std::uint64_t)> callerOf_;
   std::map<std::uint32_t, Server> servers_;  // by machine
   std::map<std::uint64_t, Run> runs_;        // by seal
--- a/src/lab/mesh/processes.cpp
+++ b/src/lab/mesh/processes.cpp
@@ -8,12 +8,12 @@
 #include <utility>
 
 #include "lab/children.hpp"
-#include "lab/draws.hpp"
 #include "lab/mesh/forward_relay.hpp"
 #include "lab/mesh/process_children.hpp"
 #include "lab/mesh/process_clients.hpp"
 #include "lab/mesh/process_operators.hpp"
 #include "lab/mesh/process_servers.hpp"
+#include "lab/random.hpp"
 #include "sidecar/log.hpp"
 
 namespace rackroute::lab::mesh {
@@ -81,9 +81,9 @@
   ProcessMesh(const Day& day, const ProcessPlan& plan)
       : day_(day),
         plan_(plan),
-        arrivals_(chanceOf(plan.seed, Purpose::arrivals)),
-        chance_(chanceOf(plan.seed, Purpose::clients)),
-        resets_(chanceOf(plan.seed, Purpose::network)),
+        arrivals_(makeRandomEngine(plan.seed, Purpose::arrivals)),
+        chance_(makeRandomEngine(plan.seed, Purpose::clients)),
+        resets_(makeRandomEngine(plan.seed, Purpose::network)),
         judge_({kDrain, kApply, spanOf(day.keyWindow), kRetryWindow, kRetryRatio, kRetrySlack}),
         httpClient_(loop_, {300ms, 5s, Span{0}, 1 << 20, 64}),
         machines_(day_, 20 + static_cast<std::uint32_t>(::getpid()) % 200),
@@ -111,7 +111,7 @@
 
   Day day_;
   const ProcessPlan& plan_;
-  Chance arrivals_, chance_, resets_;
+  RandomEngine arrivals_, chance_, resets_;
   sidecar::Loop loop_;
   Judge judge_;
   HttpClient httpClient_;
@@ -132,7 +132,7 @@
   latest_ = std::max(latest_, context_.now() - lookedAt_ - kLook);
   lookedAt_ = context_.now();
   children_.look();
-  if (Children::brokenOff()) return loop_.stop();
+  if (Children::interrupted()) return loop_.stop();
   loop_.in(kLook, [this] { look(); });
 }
 
@@ -251,7 +251,7 @@
   PlayedProcesses played;
   played.figures = endOfDay(judge_, operators_.table(), day_.leastServed, context_.now());
   played.broken = judge_.broken();
-  played.late = latest_ > kLate || Children::brokenOff();
+  played.late = latest_ > kLate || Children::interrupted();
   played.figures["kills"] = kills_;
   played.figures["keyed_at_work_when_killed"] = keyedAtKills_;
   played.figures["latest_look_ms"] = secondsOf(latest_) * 1000;
--- a/src/lab/mesh/world_control_troubles.cpp
+++ b/src/lab/mesh/world_control_troubles.cpp
@@ -153,7 +153,7 @@
   disturbCore(lasts + 500ms);
   for (const std::size_t control : slots_) {
     kill(control, dark);
-    restart(control, dark ? lasts + span(0.3 * fraction(network_)) : kDead);
+    restart(control, dark ? lasts + span(0.3 * uniform01(network_)) : kDead);
   }
 }
 
@@ -222,7 +222,7 @@
   for (std::uint32_t i = 0; sidecarsToo && i < day_.sidecars; ++i) {
     disturbSidecar(i, kClosingDown);
     kill(sideAt(i), true);
-    restart(sideAt(i), kClosingDown + span(0.5 * fraction(network_)));
+    restart(sideAt(i), kClosingDown + span(0.5 * uniform01(network_)));
   }
 }
 
--- a/src/lab/mesh/world_departures.cpp
+++ b/src/lab/mesh/world_departures.cpp
@@ -3,8 +3,9 @@
 namespace rackroute::lab::mesh::emulated {
 
 void World::mayLeave(std::size_t machine, std::uint64_t call, Span deadline) {
-  if (day_.leaving <= 0 || fraction(clients_) >= day_.leaving) return;
-  const Span patience = span(fraction(clients_) * std::chrono::duration<double>(deadline - now_).count() / 2);
+  if (day_.leaving <= 0 || uniform01(clients_) >= day_.leaving) return;
+  const Span patience =
+      span(uniform01(clients_) * std::chrono::duration<double>(deadline - now_).count() / 2);
   atProcess(now_ + patience, machine, machines_[machine].life,
             [this, machine, call] { leave(machine, call); });
 }
--- a/src/lab/mesh/world_disks.cpp
+++ b/src/lab/mesh/world_disks.cpp
@@ -41,7 +41,7 @@
 void World::endDisk(std::size_t machine, bool power) {
   Disk& disk = core(machine).disk;
   if (disk.syncing > 0) {
-    disk.files->endAfter(static_cast<std::uint64_t>(fraction(network_) * kChangesOfAWrite));
+    disk.files->endAfter(static_cast<std::uint64_t>(uniform01(network_) * kChangesOfAWrite));
     writeInFlight(disk);
   }
   disk.database.reset();
--- a/src/lab/mesh/world_operators.cpp
+++ b/src/lab/mesh/world_operators.cpp
@@ -68,8 +68,8 @@
 
 std::map<std::uint32_t, std::uint64_t> World::someRoutes(std::uint32_t least, std::uint32_t most) {
   std::map<std::uint32_t, std::uint64_t> routes;
-  const auto count = least + static_cast<std::uint32_t>(fraction(operators_) * (most - least + 1));
-  const auto first = static_cast<std::uint32_t>(fraction(operators_) * ledger_.routes());
+  const auto count = least + static_cast<std::uint32_t>(uniform01(operators_) * (most - least + 1));
+  const auto first = static_cast<std::uint32_t>(uniform01(operators_) * ledger_.routes());
   for (std::uint32_t i = 0; i < count; ++i)
     routes[(first + i) % ledger_.routes()] = ledger_.nextVersion(first + i);
   return routes;
@@ -115,7 +115,7 @@
 void World::stormOrder(Span pace, const std::shared_ptr<std::uint32_t>& left) {
   if (*left == 0 || now_ >= end_) return;
   --*left;
-  const double kind = fraction(operators_);
+  const double kind = uniform01(operators_);
   std::map<std::uint32_t, std::uint64_t> routes;
   if (kind < kStormRace && !stormRace_.empty()) {
     routes = std::exchange(stormRace_, {});
@@ -123,7 +123,7 @@
     routes = kind < kStormRace + kStormMany ? someRoutes(2, 4) : someRoutes(1, 1);
     stormRace_ = routes;
   }
-  const auto control = static_cast<std::uint32_t>(fraction(operators_) * day_.controls);
+  const auto control = static_cast<std::uint32_t>(uniform01(operators_) * day_.controls);
   const Span next = now_ + pace;
   patch(control, {ledger_.change(routes, true), kStormTries, [this, pace, left, next](Status) {
                     at(next, [this, pace, left] { stormOrder(pace, left); });
--- a/src/lab/mesh/world_requests.cpp
+++ b/src/lab/mesh/world_requests.cpp
@@ -4,10 +4,10 @@
 
 void World::arrive() {
   if (now_ >= end_) return;
-  in(span(-std::log(1 - fraction(arrivals_)) / std::max(day_.perSecond, 0.001)), [this] { arrive(); });
+  in(span(-std::log(1 - uniform01(arrivals_)) / std::max(day_.perSecond, 0.001)), [this] { arrive(); });
   Wanted wanted;
-  const double kind = fraction(arrivals_);
-  const bool other = fraction(arrivals_) < 0.4;
+  const double kind = uniform01(arrivals_);
+  const bool other = uniform01(arrivals_) < 0.4;
   if (kind < day_.keyed) {
     wanted.route = other ? 2 : 1;
     wanted.key = "k" + std::to_string(++keyNo_);
@@ -17,7 +17,7 @@
     wanted.route = other ? 3 : 0;
   }
   wanted.until = now_ + span(kRoutes[wanted.route].deadline);
-  const auto machine = sideAt(static_cast<std::uint32_t>(fraction(arrivals_) * day_.sidecars));
+  const auto machine = sideAt(static_cast<std::uint32_t>(uniform01(arrivals_) * day_.sidecars));
   ask(machine, wanted);
 }
 
@@ -70,11 +70,11 @@
   const RouteTold& route = kRoutes[wanted.route];
   Wanted next = wanted;
   if (status == 200) {
-    if (route.sort == Sort::keyed && !wanted.again && fraction(clients_) < day_.again) {
+    if (route.sort == Sort::keyed && !wanted.again && uniform01(clients_) < day_.again) {
       next.again = true;
       next.until = now_ + span(route.deadline) + 1s;
-      const auto elsewhere = sideAt(static_cast<std::uint32_t>(fraction(clients_) * day_.sidecars));
-      in(span(fraction(clients_)), [this, elsewhere, next] { ask(elsewhere, next); });
+      const auto elsewhere = sideAt(static_cast<std::uint32_t>(uniform01(clients_) * day_.sidecars));
+      in(span(uniform01(clients_)), [this, elsewhere, next] { ask(elsewhere, next); });
     }
     return;
   }
@@ -84,7 +84,7 @@
   if (++next.tries > 2 || next.until - now_ < 100ms) return;
   const Span wait = std::min<Span>(comeBack, (next.until - now_) / 3) + 5ms;
   const std::size_t again =
-      status == 0 ? sideAt(static_cast<std::uint32_t>(fraction(clients_) * day_.sidecars)) : machine;
+      status == 0 ? sideAt(static_cast<std::uint32_t>(uniform01(clients_) * day_.sidecars)) : machine;
   in(wait, [this, again, next] { ask(again, next); });
 }
 
@@ -195,7 +195,7 @@
     Distribution work{Shape::lognormal, day_.work, 0.6};
     double takes = work.draw(clients_) * there.slow;
     if (there.coldUntil > now_) takes *= 2;
-    const double luck = fraction(clients_);
+    const double luck = uniform01(clients_);
     const double loses = there.loses;
     const double spoils = there.spoils;
     const Span done = now_ + span(takes);
--- a/src/lab/mesh/world_servers.cpp
+++ b/src/lab/mesh/world_servers.cpp
@@ -32,18 +32,18 @@
   if (server.draining && server.signsOffFirst) {
     // What it says now is its sign-off; a last beat, of before that, may still be on its way.
     if (server.drainAcked >= Span{0}) return;
-    if (fraction(clients_) < kLate) callLate(machine, serverLife, told);
+    if (uniform01(clients_) < kLate) callLate(machine, serverLife, told);
     ServerHeartbeat gone;
     gone.id = told.id;
     gone.gone = true;
     return call(machine, serverLife, gone);
   }
-  if (fraction(clients_) < kLate) return callLate(machine, serverLife, told);
+  if (uniform01(clients_) < kLate) return callLate(machine, serverLife, told);
   call(machine, serverLife, told);
 }
 
 void World::callLate(std::size_t machine, std::uint64_t serverLife, const ServerHeartbeat& told) {
-  in(span(kLatest * fraction(clients_)),
+  in(span(kLatest * uniform01(clients_)),
      [this, machine, serverLife, told] { call(machine, serverLife, told); });
 }
 
@@ -65,15 +65,15 @@
   Server& server = here.server;
   if (!answer.acknowledged || !leaves || server.lives != serverLife || server.drainAcked >= Span{0}) return;
   server.drainAcked = now_;
-  const bool servesOn = fraction(clients_) < kServesOn;
-  const Span longer = servesOn ? span(kLongestOn * fraction(clients_)) : Span{500ms};
+  const bool servesOn = uniform01(clients_) < kServesOn;
+  const Span longer = servesOn ? span(kLongestOn * uniform01(clients_)) : Span{500ms};
   in(kDrain + longer, [this, machine, serverLife = serverLife] { ends(machine, serverLife); });
 }
 
 void World::beginsToLeave(std::size_t machine, std::uint64_t serverLife) {
   Server& server = side(machine).server;
   server.leavesSince = now_;
-  server.signsOffFirst = fraction(clients_) < kSignOffFirst;
+  server.signsOffFirst = uniform01(clients_) < kSignOffFirst;
   in(kEndsAnyway, [this, machine, serverLife] {
     const Server& then = side(machine).server;
     if (then.lives == serverLife && then.drainAcked < Span{0}) ends(machine, serverLife);
@@ -98,7 +98,7 @@
   server.lives = lives;
   server.id = "i-" + machines_[machine].name + "-" + std::to_string(lives);
   server.coldUntil = now_ + 2s;
-  in(span(0.3 * fraction(network_)), [this, machine, lives] { beat(machine, lives); });
+  in(span(0.3 * uniform01(network_)), [this, machine, lives] { beat(machine, lives); });
 }
 
 }  // namespace rackroute::lab::mesh::emulated
--- a/src/lab/mesh/world_troubles.cpp
+++ b/src/lab/mesh/world_troubles.cpp
@@ -155,7 +155,7 @@
 void World::resetSessions(std::size_t machine, double share) {
   for (const LinkPtr& link : std::vector<LinkPtr>(links_)) {
     if (link->a != machine && link->b != machine) continue;
-    if (link->open && fraction(network_) < share) close(link, std::nullopt);
+    if (link->open && uniform01(network_) < share) close(link, std::nullopt);
   }
   links_.erase(std::remove_if(links_.begin(), links_.end(), [](const LinkPtr& link) { return !link->open; }),
                links_.end());
--- a/src/lab/mesh/world_watch.cpp
+++ b/src/lab/mesh/world_watch.cpp
@@ -12,7 +12,7 @@
 void World::probe() {
   if (now_ >= end_) return;
   in(kProbe, [this] { probe(); });
-  const std::size_t machine = coreAt(static_cast<std::uint32_t>(fraction(operators_) * day_.controls));
+  const std::size_t machine = coreAt(static_cast<std::uint32_t>(uniform01(operators_) * day_.controls));
   const Machine& m = machines_[machine];
   if (m.life == 0 || m.dark) return;
   const Floor floor = ledger_.floorAt(now_);
--- a/src/lab/draws.hpp
+++ b/src/lab/random.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Chance for the lab: one stream for each purpose, so that what one part draws never shifts another's draws
-// and every policy meets the same queries. Distributions are the standard library's.
+// Random numbers for the lab. Each purpose has its own stream, so that draws of one component do not affect
+// another and every policy faces the same queries.
 
 #include <cstdint>
 #include <random>
@@ -12,31 +12,31 @@
 
 namespace rackroute::lab {
 
-using Chance = std::mt19937_64;
+using RandomEngine = std::mt19937_64;
 
 enum class Purpose : std::uint32_t { arrivals, fleet, network, troubles, clients, policy };
 
-/// The stream of one purpose, and of one holder of it.
-Chance chanceOf(std::uint64_t seed, Purpose purpose, std::uint64_t holder = 0);
+/// The stream of a purpose and, where several objects need their own, of one holder.
+RandomEngine makeRandomEngine(std::uint64_t seed, Purpose purpose, std::uint64_t holder = 0);
 
-/// Of 1.
-double fraction(Chance& chance);
+/// Uniform in [0, 1).
+double uniform01(RandomEngine& engine);
 
 enum class Shape { fixed, uniform, exponential, lognormal, pareto };
 
-/// A distribution by name, with its mean; the spread counts for lognormal and uniform only.
+/// A distribution with a given mean; spread applies to lognormal and uniform only.
 struct Distribution {
   Shape shape = Shape::exponential;
   double mean = 1;
   double spread = 1;  // coefficient of variation
-  double draw(Chance& chance) const;
+  double draw(RandomEngine& engine) const;
 };
 
-/// Keys 0 to count - 1, the first the most popular: key k with weight 1 / (k + 1)^skew.
+/// Zipf-distributed keys 0 to count - 1: key k has weight 1 / (k + 1)^skew.
 class SkewedKeys {
  public:
   SkewedKeys(std::size_t count, double skew);
-  std::size_t draw(Chance& chance) const;
+  std::size_t draw(RandomEngine& engine) const;
 
  private:
   std::vector<double> sums_;
--- a/src/lab/registry_model.cpp
+++ b/src/lab/registry_model.cpp
@@ -5,8 +5,8 @@
 
 namespace rackroute::lab {
 
-void RegistryModel::add(const RegisteredServer& server, bool there) {
-  entries_.push_back({server, there ? Lifecycle::serving : Lifecycle::removed, std::nullopt});
+void RegistryModel::add(const RegisteredServer& server, bool listed) {
+  entries_.push_back({server, listed ? Lifecycle::serving : Lifecycle::removed, std::nullopt});
 }
 
 void RegistryModel::change(ServerId server, Lifecycle lifecycle, std::optional<Span> startedAt) {
@@ -15,42 +15,43 @@
   if (at == entries_.end()) return;
   at->lifecycle = lifecycle;
   at->startedAt = startedAt;
-  log_.push_back(at->server.place);
+  log_.push_back(at->server.index);
 }
 
-std::vector<std::uint32_t> RegistryModel::out(bool isOut) {
-  out_ = isOut;
+std::vector<std::uint32_t> RegistryModel::setOutage(bool inOutage) {
+  out_ = inOutage;
   std::vector<std::uint32_t> broken;
-  if (isOut && asked_) {
+  if (inOutage && onRequest_) {
     broken = watching();
     watching_.clear();
   }
   return broken;
 }
 
-std::optional<Span> RegistryModel::call(Span at) {
+std::optional<Span> RegistryModel::admitCall(Span at) {
   if (out_) return std::nullopt;
-  const Span begins = std::max(free_, at);
-  if (begins - at > patience_) return std::nullopt;
-  free_ = begins + callWork_;
-  return free_;
+  const Span begins = std::max(idleAt_, at);
+  if (begins - at > maxWait_) return std::nullopt;
+  idleAt_ = begins + callWork_;
+  return idleAt_;
 }
 
-void RegistryModel::joined(std::uint32_t balancer, bool watches) {
+void RegistryModel::subscribe(std::uint32_t balancer, bool watches) {
   if (watches) watching_.insert(balancer);
 }
 
-std::vector<RegistryEntry> RegistryModel::changesFor(std::uint32_t balancer) {
-  std::vector<std::size_t> places(log_.begin() + static_cast<std::ptrdiff_t>(told_[balancer]), log_.end());
-  told_[balancer] = log_.size();
-  std::sort(places.begin(), places.end());
-  places.erase(std::unique(places.begin(), places.end()), places.end());
+std::vector<RegistryEntry> RegistryModel::takeChanges(std::uint32_t balancer) {
+  std::vector<std::size_t> indexes(log_.begin() + static_cast<std::ptrdiff_t>(sentUpTo_[balancer]),
+                                   log_.end());
+  sentUpTo_[balancer] = log_.size();
+  std::sort(indexes.begin(), indexes.end());
+  indexes.erase(std::unique(indexes.begin(), indexes.end()), indexes.end());
   std::vector<RegistryEntry> changes;
-  for (const std::size_t place : places) changes.push_back(entries_[place]);
+  for (const std::size_t index : indexes) changes.push_back(entries_[index]);
   return changes;
 }
 
-std::vector<RegistryEntry> RegistryModel::whole() const {
+std::vector<RegistryEntry> RegistryModel::snapshot() const {
   std::vector<RegistryEntry> all;
   for (const RegistryEntry& entry : entries_) {
     if (entry.lifecycle == Lifecycle::removed) continue;
--- a/src/lab/registry_model.hpp
+++ b/src/lab/registry_model.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// The stand-in for discovery as a model: a list that lags the truth, watches that are told of changes, calls
-// that are worked off in turn and fail when they wait too long, and the faults it can have: out, late, empty
-// or half lists. It reads no clock and does no I/O.
+// Model of the discovery service: a server list that lags behind reality, watches that receive changes, calls
+// that are served one at a time and fail after a maximum wait, and its faults: outages, delays, empty and
+// partial lists. No clock and no I/O.
 
 #include <cstdint>
 #include <optional>
@@ -16,7 +16,7 @@
 
 struct RegisteredServer {
   ServerId id;
-  std::size_t place = 0;  // in the fleet
+  std::size_t index = 0;  // index in the fleet
   ZoneId zone;
   CellId cell;
   double size = 1;
@@ -32,41 +32,43 @@
  public:
   explicit RegistryModel(const Scenario& scenario)
       : callWork_(scenario.discoveryCall),
-        patience_(scenario.discoveryPatience),
-        asked_(scenario.onRequest),
-        told_(scenario.balancers) {}
+        maxWait_(scenario.discoveryMaxWait),
+        onRequest_(scenario.onRequest),
+        sentUpTo_(scenario.balancers) {}
 
-  void add(const RegisteredServer& server, bool there);
+  void add(const RegisteredServer& server, bool listed);
   void change(ServerId server, Lifecycle lifecycle, std::optional<Span> startedAt);
-  /// Servers that whole lists leave out though they are there.
+  /// Servers to omit from complete lists although they are registered.
   void hide(std::vector<ServerId> servers) { hidden_ = std::move(servers); }
-  void late(Span by) { late_ = by; }
-  [[nodiscard]] Span lateBy() const { return late_; }
-  /// Ends, or begins again; those whose watches break.
-  std::vector<std::uint32_t> out(bool isOut);
-  [[nodiscard]] bool isOut() const { return out_; }
-  /// When a call that comes then is worked off; nothing: it fails.
-  std::optional<Span> call(Span at);
+  void setDelay(Span by) { delay_ = by; }
+  [[nodiscard]] Span delay() const { return delay_; }
+  /// Starts or ends an outage; returns the balancers whose watches break.
+  std::vector<std::uint32_t> setOutage(bool inOutage);
+  [[nodiscard]] bool inOutage() const { return out_; }
+  /// Completion time of a call that arrives at the given time; nullopt if it fails.
+  std::optional<Span> admitCall(Span at);
 
-  /// A balancer holds the list as it is now, and is told of changes or not.
-  void joined(std::uint32_t balancer, bool watches);
+  /// Registers the balancer for changes if it watches.
+  void subscribe(std::uint32_t balancer, bool watches);
   [[nodiscard]] std::vector<std::uint32_t> watching() const { return {watching_.begin(), watching_.end()}; }
-  [[nodiscard]] bool behind(std::uint32_t balancer) const { return told_[balancer] < log_.size(); }
-  /// What changed since it was last told, each server once.
-  std::vector<RegistryEntry> changesFor(std::uint32_t balancer);
-  [[nodiscard]] std::vector<RegistryEntry> whole() const;
+  [[nodiscard]] bool hasPendingChanges(std::uint32_t balancer) const {
+    return sentUpTo_[balancer] < log_.size();
+  }
+  /// Entries that changed since the last call for this balancer, one per server.
+  std::vector<RegistryEntry> takeChanges(std::uint32_t balancer);
+  [[nodiscard]] std::vector<RegistryEntry> snapshot() const;
 
  private:
   Span callWork_;
-  Span patience_;
-  bool asked_;                          // told of changes only while watching; else always
-  std::vector<RegistryEntry> entries_;  // by place
-  std::vector<std::size_t> log_;        // places, as they changed
-  std::vector<std::size_t> told_;       // by balancer: how much of the log
+  Span maxWait_;
+  bool onRequest_;  // balancers have to request a watch; otherwise all of them always receive changes
+  std::vector<RegistryEntry> entries_;  // by fleet index
+  std::vector<std::size_t> log_;        // fleet indexes in order of change
+  std::vector<std::size_t> sentUpTo_;   // by balancer: length of the log already sent
   std::set<std::uint32_t> watching_;
   std::vector<ServerId> hidden_;
-  Span late_{};
-  Span free_{};
+  Span delay_{};
+  Span idleAt_{};
   bool out_ = false;
 };
 
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -9,9 +9,9 @@
 namespace rackroute::lab {
 namespace {
 
-constexpr double kWidth = 860;  // of a picture, in CSS pixels; a page of text
+constexpr double kWidth = 860;  // of a chart, in CSS pixels
 constexpr double kHeight = 150;
-constexpr double kLeft = 48;  // for the figures of the upright axis
+constexpr double kLeft = 48;  // margin for the labels of the vertical axis
 constexpr double kBottom = 20;
 
 std::string number(double value, int digits = 3) {
@@ -62,7 +62,7 @@
   std::vector<double> values;
 };
 
-/// Values over seconds, from 0 to the most of all.
+/// Line chart of values per second; the vertical axis starts at 0.
 std::string curves(const std::vector<Curve>& all, double most) {
   std::size_t count = 1;
   for (const Curve& curve : all) {
@@ -91,21 +91,21 @@
 
 std::vector<double> values(const Json& array) { return array.get<std::vector<double>>(); }
 
-/// A row for each server, a cell for each second: what it held, by depth of colour; red while it was down.
-std::string heat(const Json& held) {
+/// Heat map of executions in flight: a row per server, a cell per second; red while the server is down.
+std::string heat(const Json& inFlight) {
   std::size_t servers = 0;
   double most = 1;
-  for (const Json& second : held) {
+  for (const Json& second : inFlight) {
     servers = std::max(servers, second.size());
     for (const Json& value : second) most = std::max(most, value.get<double>());
   }
   if (servers == 0) return "";
   const double row = std::clamp(400.0 / static_cast<double>(servers), 2.0, 14.0);
-  const double cell = (kWidth - kLeft - 8) / static_cast<double>(held.size());
+  const double cell = (kWidth - kLeft - 8) / static_cast<double>(inFlight.size());
   std::string inside;
-  for (std::size_t at = 0; at < held.size(); ++at) {
-    for (std::size_t server = 0; server < held[at].size(); ++server) {
-      const double value = held[at][server].get<double>();
+  for (std::size_t at = 0; at < inFlight.size(); ++at) {
+    for (std::size_t server = 0; server < inFlight[at].size(); ++server) {
+      const double value = inFlight[at][server].get<double>();
       if (value == 0) continue;
       const std::string style =
           value < 0 ? "class='down'" : "class='load' opacity='" + number(0.15 + 0.85 * value / most, 2) + "'";
@@ -116,7 +116,7 @@
   const double height = row * static_cast<double>(servers) + kBottom;
   inside += label(kLeft - 4, 12, std::to_string(servers), "end") + label(kLeft, height - 4, "0 s") +
             label(kWidth - 8, height - 4,
-                  std::to_string(held.size()) + " s; darkest: " + number(most, 0) + " held", "end");
+                  std::to_string(inFlight.size()) + " s; darkest: " + number(most, 0) + " in flight", "end");
   return svg(height, inside);
 }
 
@@ -152,9 +152,9 @@
 }
 
 std::string row(const std::vector<std::string>& cells, bool head = false) {
-  std::string made = "<tr>";
-  for (const std::string& cell : cells) made += cellOf(cell, head);
-  return made + "</tr>\n";
+  std::string html = "<tr>";
+  for (const std::string& cell : cells) html += cellOf(cell, head);
+  return html + "</tr>\n";
 }
 
 std::string of(const Json& interval, int digits = 3) {
@@ -174,12 +174,12 @@
                           " clock, seed " + std::to_string(result["seed"].get<std::uint64_t>()));
   page += "<p>" + std::to_string(result["balancers"].get<int>()) + " balancers, " +
           std::to_string(result["servers"].get<int>()) + " servers, " +
-          number(result["queries_per_s"].get<double>(), 0) + " queries a second. Goodput by importance <b>" +
-          number(figures["goodput"].get<double>()) + "</b>, worst 10 s " +
-          number(figures["worst_10_s"].get<double>()) + ". Rules broken: <b>" +
+          number(result["queries_per_s"].get<double>(), 0) +
+          " queries per second. Goodput by importance <b>" + number(figures["goodput"].get<double>()) +
+          "</b>, worst 10 s " + number(figures["worst_10_s"].get<double>()) + ". Rules broken: <b>" +
           std::to_string(result["broken"].get<std::uint64_t>()) + "</b> of " +
-          std::to_string(result["judged"].get<std::uint64_t>()) + " queries judged.</p>\n";
-  page += "<h3>Importance asked for (grey) and served in time (green), a second</h3>" +
+          std::to_string(result["judged"].get<std::uint64_t>()) + " queries checked.</p>\n";
+  page += "<h3>Importance requested (grey) and served in time (green), per second</h3>" +
           curves({{"asked", values(figures["seconds"]["asked"])},
                   {"served", values(figures["seconds"]["served"])}},
                  0);
@@ -195,9 +195,9 @@
       cells.push_back(number(use[part].get<double>(), 1));
     page += row(cells);
   }
-  page += "</table>\n<h3>Executions that each server held, second by second (red: down)</h3>" +
+  page += "</table>\n<h3>Executions in flight at each server, per second (red: down)</h3>" +
           heat(figures["seconds"]["held"]);
-  page += "<h3>Share of all pools that was ejected</h3>" +
+  page += "<h3>Ejected share of all pools</h3>" +
           curves({{"ejected", values(figures["seconds"]["ejected"])}}, 0.05);
   if (!result["cold_starts"].empty()) {
     std::vector<Bar> all;
@@ -205,7 +205,7 @@
       const double peak = cold["peak"].get<double>();
       all.push_back({"started at " + number(cold["started_s"].get<double>(), 1) + " s", peak, 0, peak > 1});
     }
-    page += "<h3>Cold starts: the most of its tipping budget that a server was sent</h3>" + bars(all, 1, "");
+    page += "<h3>Cold starts: peak work received, relative to the overload limit</h3>" + bars(all, 1, "");
   }
   if (!result["drains"].empty()) {
     std::vector<Bar> all;
@@ -215,7 +215,7 @@
       all.push_back({"server " + std::to_string(drain["server"].get<std::uint64_t>() % 100000), latest, 0,
                      latest > grace});
     }
-    page += "<h3>Drains: the last execution after a balancer was told, grace " + number(grace, 0) +
+    page += "<h3>Drains: last execution after the notice to a balancer, grace period " + number(grace, 0) +
             " ms</h3>" + bars(all, grace, " ms");
   }
   for (const Json& breach : result["breaches"]) {
@@ -228,11 +228,11 @@
 }
 
 std::string tableOf(const Json& all, const char* first) {
-  std::string made = "<table>" + row({first, "policy", "goodput", "worst 10 s", "p99 ms", "work wasted",
-                                      "executions a query", "broken", "module ahead by"},
+  std::string html = "<table>" + row({first, "policy", "goodput", "worst 10 s", "p99 ms", "work wasted",
+                                      "executions per query", "broken", "module ahead by"},
                                      true);
   for (const Json& one : all) {
-    made += row({one.contains("value") ? escaped(one["value"].get<std::string>()) : "",
+    html += row({one.contains("value") ? escaped(one["value"].get<std::string>()) : "",
                  escaped(one["policy"].get<std::string>()), of(one["goodput"]), of(one["worst_10_s"]),
                  of(one["p99_ms"], 0), of(one["wasted_share"]), of(one["executions_per_query"], 2),
                  std::to_string(one["broken"].get<std::uint64_t>()),
@@ -240,7 +240,7 @@
                      ? of(one["first_ahead"]) + ", " + escaped(one["verdict"].get<std::string>())
                      : ""});
   }
-  return made + "</table>\n";
+  return html + "</table>\n";
 }
 
 std::string seedsOf(const Json& result) { return std::to_string(result["seeds"].size()) + " seeds"; }
@@ -289,7 +289,7 @@
                      kStyle + "</style></head><body><h1>rackroute lab</h1>\n";
   for (const Json& result : results) {
     if (!result.is_object() || result.value("format", 0) != 1)
-      throw std::runtime_error("is no result of the lab");
+      throw std::runtime_error("not a result file of rackroute-lab");
     const std::string kind = result.value("kind", "run");
     page += kind == "compare" ? compareHtml(result) : kind == "sweep" ? sweepHtml(result) : runHtml(result);
   }
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -1,16 +1,17 @@
 #pragma once
 
-// One self-contained HTML page of result files: tables and pictures as SVG, no script, nothing loaded. It
-// owns the form only; the figures are the files'.
+// Renders result files as one self-contained HTML page: tables and SVG charts, without scripts or external
+// resources.
 
 #include <string>
 #include <vector>
 
-#include "lab/tally.hpp"
+#include "lab/run_statistics.hpp"
 
 namespace rackroute::lab {
 
-/// Of runs, comparisons and sweeps, in the order given. Throws std::runtime_error on what is none of them.
+/// Accepts results of runs, comparisons and sweeps, in the given order. Throws std::runtime_error on anything
+/// else.
 std::string reportHtml(const std::vector<Json>& results);
 
 }  // namespace rackroute::lab
--- a/src/lab/tally.cpp
+++ b/src/lab/run_statistics.cpp
@@ -1,4 +1,4 @@
-#include "lab/tally.hpp"
+#include "lab/run_statistics.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr unsigned kBins = 1000;
-constexpr double kLeastLatency = 1e-4;  // seconds; below any way and work here
-constexpr double kMostLatency = 100;    // seconds; above any statement timeout
+constexpr double kMinLatency = 1e-4;  // seconds
+constexpr double kMaxLatency = 100;   // seconds
 
-constexpr std::array<const char*, 5> kFates = {"in_time", "late", "rejected", "failed", "left"};
-constexpr std::array<const char*, 8> kOutcomes = {"completed",      "error", "full",      "timeout",
-                                                  "connect_failed", "reset", "cancelled", "moot"};
+constexpr std::array<const char*, 5> kFateNames = {"in_time", "late", "rejected", "failed", "left"};
+constexpr std::array<const char*, 8> kOutcomeNames = {"completed",      "error", "full",      "timeout",
+                                                      "connect_failed", "reset", "cancelled", "moot"};
 
 }  // namespace
 
@@ -23,10 +23,9 @@
   return std::round(value * scale) / scale;
 }
 
-Latencies::Latencies()
-    : counts_(boost::histogram::make_histogram(Axis(kBins, kLeastLatency, kMostLatency))) {}
+Latencies::Latencies() : counts_(boost::histogram::make_histogram(Axis(kBins, kMinLatency, kMaxLatency))) {}
 
-void Latencies::add(double seconds) { counts_(std::clamp(seconds, kLeastLatency, 0.999 * kMostLatency)); }
+void Latencies::add(double seconds) { counts_(std::clamp(seconds, kMinLatency, 0.999 * kMaxLatency)); }
 
 double Latencies::quantile(double part) const {
   double all = 0;
@@ -41,98 +40,100 @@
     }
     below += count;
   }
-  return kMostLatency;
+  return kMaxLatency;
 }
 
-Tally::Tally(const Scenario& scenario)
+RunStatistics::RunStatistics(const Scenario& scenario)
     : scenario_(scenario), uses_(scenario.useCases.size()), workSent_(scenario.servers) {}
 
-Tally::Second& Tally::second(Span at) {
-  const auto place = static_cast<std::size_t>(std::max<Span::rep>(0, at / std::chrono::seconds(1)));
-  if (place >= seconds_.size()) seconds_.resize(place + 1);
-  return seconds_[place];
+RunStatistics::Second& RunStatistics::second(Span at) {
+  const auto index = static_cast<std::size_t>(std::max<Span::rep>(0, at / std::chrono::seconds(1)));
+  if (index >= seconds_.size()) seconds_.resize(index + 1);
+  return seconds_[index];
 }
 
-void Tally::asked(Span intended, std::size_t useCase, Fate fate, Span latency) {
+void RunStatistics::requestFinished(Span intended, std::size_t useCase, Fate fate, Span latency) {
   Use& use = uses_.at(useCase);
   ++use.fates.at(static_cast<std::size_t>(fate));
-  const UseCase& terms = scenario_.useCases[useCase].terms;
+  const UseCase& terms = scenario_.useCases[useCase].useCase;
   Second& at = second(intended);
-  if (fate == Fate::left) return;  // nobody waits for it, so nothing was asked in the end
-  at.asked += terms.importance;
+  if (fate == Fate::left) return;  // abandoned requests do not count toward goodput
+  at.requested += terms.importance;
   if (fate == Fate::inTime) at.served += terms.importance;
   if (fate == Fate::late) at.served += terms.importance * terms.lateImportance;
   if (fate == Fate::inTime || fate == Fate::late) use.latencies.add(seconds(latency));
 }
 
-void Tally::sent(Span, std::size_t server, double work) { workSent_.at(server) += work; }
+void RunStatistics::sent(Span, std::size_t server, double work) { workSent_.at(server) += work; }
 
-void Tally::ejected(Span at, double share) { second(at).ejected = share; }
+void RunStatistics::ejected(Span at, double share) { second(at).ejected = share; }
 
-void Tally::serverLoad(Span at, std::size_t server, double held, bool up) {
+void RunStatistics::serverLoad(Span at, std::size_t server, double inFlight, bool up) {
   std::vector<float>& load = second(at).load;
   load.resize(scenario_.servers);
-  load.at(server) = up ? static_cast<float>(held) : -1.0F;
+  load.at(server) = up ? static_cast<float>(inFlight) : -1.0F;
 }
 
-double Tally::goodput() const {
-  double asked = 0;
+double RunStatistics::goodput() const {
+  double requested = 0;
   double served = 0;
   for (const Second& second : seconds_) {
-    asked += second.asked;
+    requested += second.requested;
     served += second.served;
   }
-  return asked > 0 ? served / asked : 1;
+  return requested > 0 ? served / requested : 1;
 }
 
-Json Tally::json() const {
+Json RunStatistics::json() const {
   Json all;
   all["goodput"] = rounded(goodput());
   double worst = 1;
   constexpr std::size_t window = 10;
   for (std::size_t from = 0; from + window <= seconds_.size(); ++from) {
-    double asked = 0;
+    double requested = 0;
     double served = 0;
     for (std::size_t at = from; at < from + window; ++at) {
-      asked += seconds_[at].asked;
+      requested += seconds_[at].requested;
       served += seconds_[at].served;
     }
-    if (asked > 0) worst = std::min(worst, served / asked);
+    if (requested > 0) worst = std::min(worst, served / requested);
   }
   all["worst_10_s"] = rounded(worst);
   for (std::size_t i = 0; i < uses_.size(); ++i) {
     Json& use = all["use_cases"].emplace_back();
     use["name"] = scenario_.useCases[i].name;
-    use["importance"] = scenario_.useCases[i].terms.importance;
-    for (std::size_t fate = 0; fate < kFates.size(); ++fate) use[kFates.at(fate)] = uses_[i].fates.at(fate);
+    use["importance"] = scenario_.useCases[i].useCase.importance;
+    for (std::size_t fate = 0; fate < kFateNames.size(); ++fate)
+      use[kFateNames.at(fate)] = uses_[i].fates.at(fate);
     for (const auto& [name, part] : {std::pair("p50_ms", 0.5), {"p90_ms", 0.9}, {"p99_ms", 0.99}})
       use[name] = rounded(1000 * uses_[i].latencies.quantile(part));
   }
   all["executions"] = executions_;
   all["client_retries"] = retries_;
-  for (std::size_t i = 0; i < kOutcomes.size(); ++i) all["outcomes"][kOutcomes.at(i)] = outcomes_.at(i);
+  for (std::size_t i = 0; i < kOutcomeNames.size(); ++i)
+    all["outcomes"][kOutcomeNames.at(i)] = outcomes_.at(i);
   all["worked_ms"] = worked_.count() / 1000;
   all["wasted_ms"] = wasted_.count() / 1000;
   all["connections_opened"] = connections_;
-  all["most_connections_at_a_server"] = mostConnections_;
+  all["most_connections_at_a_server"] = maxConnections_;
   all["zone_crossings"] = crossings_;
   Json& work = all["work_sent_s"] = Json::array();
   for (const double sum : workSent_) work.push_back(rounded(sum));
   Json& over = all["seconds"] = Json::object();
   for (const char* name : {"asked", "served", "ejected", "held"}) over[name] = Json::array();
   for (const Second& second : seconds_) {
-    over["asked"].push_back(rounded(second.asked));
+    over["asked"].push_back(rounded(second.requested));
     over["served"].push_back(rounded(second.served));
     over["ejected"].push_back(rounded(second.ejected));
-    Json held = Json::array();
-    for (const float load : second.load) held.push_back(rounded(static_cast<double>(load)));
-    over["held"].push_back(std::move(held));
+    Json inFlight = Json::array();
+    for (const float load : second.load) inFlight.push_back(rounded(static_cast<double>(load)));
+    over["held"].push_back(std::move(inFlight));
   }
   return all;
 }
 
 Json resultJson(const Scenario& scenario, std::string_view policy, std::string_view clock, std::uint64_t seed,
-                const Tally& tally, const Audit& audit) {
+                const RunStatistics& tally, const Audit& audit) {
   Json all;
   all["format"] = 1;
   all["scenario"] = scenario.name;
--- a/src/lab/tally.hpp
+++ b/src/lab/run_statistics.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// What a run came to: counts by use case, latencies from the intended send time, what each second and each
-// server saw. It owns the figures and their form as JSON; it must never hold a machine's time of day or
-// anything else by which two runs of one seed would differ.
+// Statistics of a run and their JSON form: counts by use case, latencies from the intended send time, and
+// figures per second and per server. They contain no wall-clock time or other data that differs between runs
+// of one seed.
 
 #include <boost/histogram.hpp>
 #include <cstdint>
@@ -11,19 +11,19 @@
 #include <vector>
 
 #include "lab/audit.hpp"
-#include "lab/contender.hpp"
+#include "lab/balancing_policy.hpp"
 #include "lab/scenario.hpp"
 
 namespace rackroute::lab {
 
 using Json = nlohmann::ordered_json;
 
-/// Latencies in seconds, in steps of 1.4%.
+/// Latency histogram in seconds, with a resolution of 1.4%.
 class Latencies {
  public:
   Latencies();
   void add(double seconds);
-  /// 0 with nothing counted.
+  /// 0 if empty.
   [[nodiscard]] double quantile(double part) const;
 
  private:
@@ -33,13 +33,13 @@
 
 enum class Fate { inTime, late, rejected, failed, left };
 
-class Tally {
+class RunStatistics {
  public:
-  explicit Tally(const Scenario& scenario);
+  explicit RunStatistics(const Scenario& scenario);
 
-  /// One client's query with all its tries, by when it was meant to be sent.
-  void asked(Span intended, std::size_t useCase, Fate fate, Span latency);
-  void sent(Span at, std::size_t server, double work);  // reached it
+  /// Records a finished client request with all its attempts, by its intended send time.
+  void requestFinished(Span intended, std::size_t useCase, Fate fate, Span latency);
+  void sent(Span at, std::size_t server, double work);  // arrived at the server
   void retried() { ++retries_; }
   void executed() { ++executions_; }
   void outcome(Outcome outcome) { ++outcomes_.at(static_cast<std::size_t>(outcome)); }
@@ -47,11 +47,11 @@
   void worked(Span work) { worked_ += work; }
   void dialled() { ++connections_; }
   void crossed() { ++crossings_; }
-  void ejected(Span at, double share);  // of all pools, sampled once a second
-  void connections(std::size_t atOnce) { mostConnections_ = std::max(mostConnections_, atOnce); }
-  void serverLoad(Span at, std::size_t server, double held, bool up);
+  void ejected(Span at, double share);  // relative to all pools, sampled once per second
+  void connections(std::size_t atOnce) { maxConnections_ = std::max(maxConnections_, atOnce); }
+  void serverLoad(Span at, std::size_t server, double inFlight, bool up);
 
-  /// Share of the importance asked for that was answered within its SLO time, late answers by their part.
+  /// Share of the requested importance that was answered within the SLO time; late answers count partially.
   [[nodiscard]] double goodput() const;
   [[nodiscard]] Json json() const;
 
@@ -61,10 +61,10 @@
     Latencies latencies;
   };
   struct Second {
-    double asked = 0;
+    double requested = 0;
     double served = 0;
     double ejected = 0;
-    std::vector<float> load;  // by server: executions held at its end; -1: down
+    std::vector<float> load;  // by server: executions in flight at the end of the second; -1: down
   };
   Second& second(Span at);
 
@@ -76,7 +76,7 @@
   std::uint64_t retries_ = 0;
   std::uint64_t connections_ = 0;
   std::uint64_t crossings_ = 0;
-  std::size_t mostConnections_ = 0;
+  std::size_t maxConnections_ = 0;
   std::vector<double> workSent_;  // by server
   Span wasted_{};
   Span worked_{};
@@ -86,15 +86,15 @@
   Json json;
   double goodput = 0;
   std::uint64_t breaches = 0;
-  std::vector<Breach> told;
+  std::vector<Breach> breachDetails;
   bool ranLate = false;
 };
 
-/// The whole result file of one run.
+/// Contents of the result file of one run.
 Json resultJson(const Scenario& scenario, std::string_view policy, std::string_view clock, std::uint64_t seed,
-                const Tally& tally, const Audit& audit);
+                const RunStatistics& tally, const Audit& audit);
 
-/// Six digits: what a reader compares, without the noise of the last bits.
+/// Rounds to six significant digits.
 double rounded(double value);
 
 }  // namespace rackroute::lab
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-// What an experiment plays: fleet, network, discovery, load, clients, troubles and the verdict expected of
-// the module, read from a TOML file. Every key has its unit in its name; what is unknown, of the wrong kind
-// or impossible is named with file, line and key. It owns no state of a run.
+// Configuration of an experiment, read from a TOML file: fleet, network, discovery, load, clients, troubles
+// and the expected result of the module. Keys carry their unit in their name. Unknown keys, wrong types and
+// values out of range are reported with file, line and key.
 
 #include <cstdint>
 #include <optional>
@@ -12,13 +12,13 @@
 #include <utility>
 #include <vector>
 
-#include "lab/draws.hpp"
+#include "lab/random.hpp"
 #include "lab/server_model.hpp"
 #include "rackroute/types.hpp"
 
 namespace rackroute::lab {
 
-/// What is wrong with a file, in one line: file:line: key: what.
+/// Invalid scenario file; the message has the form "file:line: key: reason".
 struct BadScenario : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -28,16 +28,16 @@
   double share = 1;
   double cores = 1;
   double speed = 1;
-  double speedSpread = 0;  // of 1, drawn evenly to both sides
+  double speedSpread = 0;  // relative, uniformly distributed in both directions
   double queuePerCore = 30;
 };
 
 struct UseCasePlan {
   std::string name;
-  UseCase terms;
+  UseCase useCase;
   double share = 1;
   Distribution work{Shape::lognormal, 0.02, 0.5};  // seconds of a standard core
-  Span timeout{};                                  // statement timeout
+  Span timeout{};                                  // client-side statement timeout
 };
 
 enum class Arrivals { steady, poisson, bursts, ramp };
@@ -62,18 +62,19 @@
   burst
 };
 
+/// A fault injected during the run ([[trouble]] in the file).
 struct Trouble {
   TroubleKind kind = TroubleKind::slow;
   Span at{};
   Span length{};
-  double part = 0.2;                     // of the servers
-  double size = 1;                       // what it is of depends on the kind; see docs/lab.md
-  std::uint32_t zone = 0;                // where one zone is meant
-  std::optional<std::uint32_t> useCase;  // errors only: of this use case alone
+  double part = 0.2;                     // share of the servers
+  double size = 1;                       // meaning depends on the kind; see docs/lab.md
+  std::uint32_t zone = 0;                // for troubles of one zone
+  std::optional<std::uint32_t> useCase;  // errors only: limited to this use case
 };
 
 struct Expected {
-  double goodput = 0;  // of the module, at least; share of the importance asked for
+  double goodput = 0;  // minimum for the module, as a share of the requested importance
   bool rulesKept = true;
 };
 
@@ -86,50 +87,50 @@
   std::uint32_t servers = 10;
   std::uint32_t zones = 3;
   std::vector<ServerKind> kinds;
-  ServerTraits traits;  // what all kinds share
-  Span sameZone{};      // one way, as all below
-  Span crossZone{};
-  Span clientWay{};
-  double jitter = 0.2;        // of a way, drawn evenly to both sides
-  double connectionWork = 0;  // seconds of a standard core, for a new connection
+  ServerTraits traits;   // common to all kinds
+  Span sameZoneDelay{};  // one-way delay, as the two below
+  Span crossZoneDelay{};
+  Span clientDelay{};
+  double jitter = 0.2;        // relative, uniformly distributed in both directions
+  double connectionWork = 0;  // per new connection, in seconds of a standard core
   Span connectionIdle{};
   Span dialTimeout{};
-  bool onRequest = true;  // discovery answers only when asked
+  bool onRequest = true;  // discovery sends lists only on request
   Span discoveryDelay{};
-  Span discoveryCall{};      // work of one call; it takes them in turn
-  Span discoveryPatience{};  // a call that waited longer fails
+  Span discoveryCall{};     // service time of a call; calls are served one at a time
+  Span discoveryMaxWait{};  // calls that wait longer fail
   Span drainGrace{};
   Span answerSlack{};
   Span tick{};
   std::uint32_t maxExecutions = 5;
   Span maxRetryAfter{};
-  double load = 0.6;  // of the servers' capacity, where no rate is given
-  double rate = 0;    // queries a second of all clients together; 0: by load
+  double load = 0.6;  // relative to the servers' capacity; used if rate is 0
+  double rate = 0;    // queries per second of all clients; 0: derived from load
   Arrivals arrivals = Arrivals::poisson;
-  double burstSize = 3;  // of the mean rate, while a burst lasts; ramps end there
+  double burstSize = 3;  // relative to the mean rate, during bursts and at the end of a ramp
   Span burstEvery{};
   Span burstLength{};
-  double skew = 0;  // balancer n gets 1 / (n + 1)^skew
+  double skew = 0;  // weight of balancer n is 1 / (n + 1)^skew
   std::size_t keys = 0;
   double keySkew = 0.8;
   std::vector<UseCasePlan> useCases;
   std::uint32_t retries = 1;
   Span backoff{};
-  double obeysAdvice = 0.8;  // share of clients
-  double leaves = 0;         // share of queries whose client leaves early
-  double tryShare = 1;       // of the statement timeout, after which a try is given up
+  double honorsRetryAfter = 0.8;  // share of clients
+  double disconnects = 0;         // share of queries whose client disconnects early
+  double tryShare = 1;            // timeout of one attempt, relative to the statement timeout
   std::vector<Trouble> troubles;
   Expected expected;
 
-  /// Mean work of one query, in seconds of a standard core.
+  /// Mean work per query, in seconds of a standard core.
   [[nodiscard]] double meanWork() const;
-  /// Queries a second of all clients, in the mean of a steady stretch.
+  /// Mean queries per second of all clients, without bursts.
   [[nodiscard]] double queriesPerSecond() const;
-  /// What a balancer is told at its start.
-  [[nodiscard]] BalancerConfig terms(std::uint64_t seed, std::uint32_t balancer) const;
+  /// Configuration of one balancer.
+  [[nodiscard]] BalancerConfig balancerConfig(std::uint64_t seed, std::uint32_t balancer) const;
 };
 
-/// One value changed before the file is read: a dotted path, such as load.share or trouble.0.size.
+/// A value that replaces one of the file: dotted path (load.share, trouble.0.size) and value.
 using Override = std::pair<std::string, std::string>;
 
 Scenario readScenario(const std::string& file, const std::vector<Override>& overrides = {});
--- a/src/lab/timeline.hpp
+++ b/src/lab/timeline.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Virtual time: what is to happen, in the order of its time and, at the same time, in the order it was asked
-// for. It owns the clock of a virtual run and nothing else; it must never look at the machine's.
+// Event queue and clock of a virtual run. Events run in order of their time; events of the same time run in
+// the order in which they were scheduled. Never reads the system clock.
 
 #include <algorithm>
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 class Timeline {
  public:
-  using Deed = std::function<void()>;
+  using Task = std::function<void()>;
 
   [[nodiscard]] Span now() const { return now_; }
-  /// What lies in the past happens next.
-  void at(Span time, Deed deed) {
-    heap_.push_back({std::max(time, now_), next_++, std::move(deed)});
+  /// Schedules a task; a time in the past means as soon as possible.
+  void at(Span time, Task task) {
+    heap_.push_back({std::max(time, now_), next_++, std::move(task)});
     std::push_heap(heap_.begin(), heap_.end(), later);
   }
-  void in(Span wait, Deed deed) { at(now_ + wait, std::move(deed)); }
-  /// Does the next thing, if there is one up to then.
+  void in(Span wait, Task task) { at(now_ + wait, std::move(task)); }
+  /// Runs the next task if it is due by then; false if there is none.
   bool step(Span until) {
     if (heap_.empty() || heap_.front().time > until) return false;
     std::pop_heap(heap_.begin(), heap_.end(), later);
@@ -32,7 +32,7 @@
     heap_.pop_back();
     now_ = entry.time;
     ++done_;
-    entry.deed();
+    entry.task();
     return true;
   }
   [[nodiscard]] std::uint64_t done() const { return done_; }
@@ -41,7 +41,7 @@
   struct Entry {
     Span time;
     std::uint64_t order;
-    Deed deed;
+    Task task;
   };
   static bool later(const Entry& a, const Entry& b) {
     return a.time != b.time ? a.time > b.time : a.order > b.order;
--- a/src/lab/section.cpp
+++ b/src/lab/toml_section.cpp
@@ -1,4 +1,4 @@
-#include "lab/section.hpp"
+#include "lab/toml_section.hpp"
 
 #include <charconv>
 #include <fstream>
@@ -19,7 +19,7 @@
     if (toml::array* array = node->as_array()) {
       std::size_t at = array->size();
       std::from_chars(part.data(), part.data() + part.size(), at);
-      if (at >= array->size() || last) fail("names no table of the file");
+      if (at >= array->size() || last) fail("does not name a table of the file");
       node = array->get(at);
     } else if (toml::table* inner = node->as_table()) {
       if (last) {
@@ -36,7 +36,7 @@
       if (!inner->contains(part)) inner->insert(part, toml::table{});
       node = inner->get(part);
     } else {
-      fail("names no table of the file");
+      fail("does not name a table of the file");
     }
     from = dot + 1;
   }
@@ -61,7 +61,7 @@
 std::string textOf(const std::string& file) {
   std::ifstream in(file);
   std::string text{std::istreambuf_iterator<char>(in), {}};
-  if (!in) throw BadScenario(file + ": can't be read");
+  if (!in) throw BadScenario(file + ": cannot be read");
   return text;
 }
 
--- a/src/lab/section.hpp
+++ b/src/lab/toml_section.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// One table of a TOML file, read key by key: what is unknown, of the wrong kind or impossible is named with
-// file, line and key.
+// Typed access to one table of a TOML file. Unknown keys, wrong types and values out of range are reported
+// with file, line and key.
 
 #include <toml++/toml.h>
 
@@ -18,17 +18,17 @@
 
 namespace rackroute::lab {
 
-/// The file as a table, with the values changed that are to be.
+/// Parses the text and applies the overrides.
 toml::table readTable(std::string_view text, const std::string& file, const std::vector<Override>& overrides);
-/// A file's text; throws BadScenario.
+/// Reads a file; throws BadScenario on failure.
 std::string textOf(const std::string& file);
 
-inline constexpr double kLongest = 3600;  // seconds
+inline constexpr double kMaxDurationSeconds = 3600;  // seconds
 
 template <class Value>
-using Words = std::initializer_list<std::pair<std::string_view, Value>>;
+using Choices = std::initializer_list<std::pair<std::string_view, Value>>;
 
-/// One table of the file. Each key that is read is ticked off; what is left at the end is unknown.
+/// One table of the file. Records the keys that are read; close() reports all others as unknown.
 class Section {
  public:
   Section(const toml::table* table, std::string path, const std::string& file)
@@ -49,58 +49,59 @@
     const toml::node* node = find(key);
     if (node == nullptr) return otherwise;
     const auto value = node->value<double>();
-    if (!value || !node->is_number()) fail(key, "wants a number");
+    if (!value || !node->is_number()) fail(key, "must be a number");
     if (!(*value >= least && *value <= most)) {
       std::ostringstream what;
-      what << "wants a number from " << least << " to " << most << ", not " << *value;
+      what << "must be a number from " << least << " to " << most << ", not " << *value;
       fail(key, what.str());
     }
     return *value;
   }
-  std::uint32_t whole(std::string_view key, std::uint32_t otherwise, double least, double most) {
+  std::uint32_t integer(std::string_view key, std::uint32_t otherwise, double least, double most) {
     const double value = number(key, otherwise, least, most);
-    if (value != std::floor(value)) fail(key, "wants a whole number");
+    if (value != std::floor(value)) fail(key, "must be an integer");
     return static_cast<std::uint32_t>(value);
   }
-  Span seconds(std::string_view key, double otherwise, double least = 0, double most = kLongest) {
+  Span seconds(std::string_view key, double otherwise, double least = 0, double most = kMaxDurationSeconds) {
     return span(number(key, otherwise, least, most));
   }
-  Span millis(std::string_view key, double otherwise, double least = 0, double most = 1000 * kLongest) {
+  Span millis(std::string_view key, double otherwise, double least = 0,
+              double most = 1000 * kMaxDurationSeconds) {
     return span(number(key, otherwise, least, most) / 1000);
   }
-  bool yes(std::string_view key, bool otherwise) {
+  bool boolean(std::string_view key, bool otherwise) {
     const toml::node* node = find(key);
     if (node == nullptr) return otherwise;
-    if (!node->is_boolean()) fail(key, "wants true or false");
+    if (!node->is_boolean()) fail(key, "must be true or false");
     return node->value_or(otherwise);
   }
   std::string text(std::string_view key, const std::string& otherwise) {
     const toml::node* node = find(key);
     if (node == nullptr) return otherwise;
-    if (!node->is_string()) fail(key, "wants a text");
+    if (!node->is_string()) fail(key, "must be a string");
     return node->value_or(otherwise);
   }
   template <class Value>
-  Value word(std::string_view key, Value otherwise, const Words<Value>& words) {
-    const std::string said = text(key, "");
-    if (said.empty()) return otherwise;
+  Value choice(std::string_view key, Value otherwise, const Choices<Value>& words) {
+    const std::string chosen = text(key, "");
+    if (chosen.empty()) return otherwise;
     std::string known;
     for (const auto& [word, value] : words) {
-      if (word == said) return value;
+      if (word == chosen) return value;
       known.append(known.empty() ? "" : ", ").append(word);
     }
-    fail(key, "wants one of " + known + ", not '" + said + "'");
+    fail(key, "must be one of " + known + ", not '" + chosen + "'");
   }
   Section sub(std::string_view key) {
     const toml::node* node = find(key);
-    if (node != nullptr && !node->is_table()) fail(key, "wants a table");
+    if (node != nullptr && !node->is_table()) fail(key, "must be a table");
     return {node == nullptr ? nullptr : node->as_table(), path_ + std::string(key) + '.', file_};
   }
-  std::vector<Section> each(std::string_view key) {
+  std::vector<Section> tables(std::string_view key) {
     std::vector<Section> all;
     const toml::node* node = find(key);
     if (node == nullptr) return all;
-    if (!node->is_array_of_tables()) fail(key, "wants tables, [[" + std::string(key) + "]]");
+    if (!node->is_array_of_tables()) fail(key, "must be an array of tables, [[" + std::string(key) + "]]");
     std::size_t number = 0;
     for (const toml::node& one : *node->as_array())
       all.emplace_back(one.as_table(), path_ + std::string(key) + '.' + std::to_string(number++) + '.',
@@ -108,11 +109,11 @@
     return all;
   }
   [[nodiscard]] bool has(std::string_view key) const { return table_ != nullptr && table_->contains(key); }
-  /// Guards against a key misspelt, or with another unit, that would be passed over in silence.
+  /// Fails on keys that were not read, such as misspelled ones.
   void close() const {
     if (table_ == nullptr) return;
     for (const auto& [key, node] : *table_) {
-      if (!read_.contains(key.str())) fail(key.str(), "is unknown here" + nearest(key.str()));
+      if (!read_.contains(key.str())) fail(key.str(), "unknown key" + nearest(key.str()));
     }
   }
 
--- a/tests/database_test.cpp
+++ b/tests/database_test.cpp
@@ -31,14 +31,14 @@
 class Machine {
  public:
   explicit Machine(std::uint64_t seed, bool syncsFolders = true)
-      : random_(chanceOf(seed, Purpose::troubles)), files_(kData), fileSystem_(files_.fileSystem()) {
+      : random_(makeRandomEngine(seed, Purpose::troubles)), files_(kData), fileSystem_(files_.fileSystem()) {
     if (!syncsFolders) fileSystem_.syncFolder = [](const std::string&) { return leveldb::Status::OK(); };
   }
   ~Machine() { stop(); }
 
   [[nodiscard]] std::uint64_t below(std::uint64_t end) { return random_() % end; }
   EmulatedFiles& files() { return files_; }
-  Chance& random() { return random_; }
+  RandomEngine& random() { return random_; }
 
   OpenOutcome start() {
     stop();
@@ -100,7 +100,7 @@
     }
   }
 
-  Chance random_;
+  RandomEngine random_;
   EmulatedFiles files_;
   FileSystem fileSystem_;
   std::unique_ptr<Database> database_;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -9,7 +9,7 @@
 #include "balancer_fixture.hpp"
 #include "fleet/membership.hpp"
 #include "fleet/wire.hpp"
-#include "lab/fleet/judge.hpp"
+#include "lab/fleet/drill_checker.hpp"
 #include "lab/fleet/virtual_fleet.hpp"
 
 using namespace rackroute;
@@ -400,15 +400,15 @@
 settle_s = 15
 hearing = "whole")";
   const lab::Drill drill = lab::readDrillText(text, "halves");
-  const lab::Json run = lab::playDrillVirtual(drill, 5);
+  const lab::Json run = lab::runDrillVirtual(drill, 5);
   CHECK(run["kept"] == true);
   CHECK(run["figures"]["deaths_told"] > 0);
-  CHECK(lab::playDrillVirtual(drill, 5).dump() == run.dump());  // the same events, the same view
+  CHECK(lab::runDrillVirtual(drill, 5).dump() == run.dump());  // the same events, the same view
   // The judge sees what is wrong: without the last 30 s of it, the halves are still apart.
   lab::Drill apart = drill;
   apart.faults[0].length = 0s;
-  apart.promised.hearing = "whole";
-  CHECK(lab::playDrillVirtual(apart, 5)["kept"] == false);
+  apart.expected.hearing = "whole";
+  CHECK(lab::runDrillVirtual(apart, 5)["kept"] == false);
 }
 
 TEST_CASE("a drill's file is read with care") {
