--- a/src/lab/mesh/day.cpp
+++ b/src/lab/mesh/day.cpp
@@ -5,7 +5,7 @@
 #include <sstream>
 #include <utility>
 
-#include "lab/section.hpp"
+#include "lab/toml_section.hpp"
 
 namespace rackroute::lab::mesh {
 namespace {
@@ -72,38 +72,38 @@
   Section top(&table, "", file);
   Day day;
   day.name = top.text("name", "day");
-  day.zones = top.whole("zones", day.zones, 1, 20);
-  day.controls = top.whole("controls", day.controls, 1, 20);
-  day.sidecars = top.whole("sidecars", day.sidecars, 1, 2000);
-  day.seconds = top.number("length_s", day.seconds, 1, kLongest);
+  day.zones = top.integer("zones", day.zones, 1, 20);
+  day.controls = top.integer("controls", day.controls, 1, 20);
+  day.sidecars = top.integer("sidecars", day.sidecars, 1, 2000);
+  day.seconds = top.number("length_s", day.seconds, 1, kMaxDurationSeconds);
   day.requestRate = top.number("per_s", day.requestRate, 0, 1e6);
   day.keyedShare = top.number("keyed", day.keyedShare, 0, 1);
   day.effectfulShare = top.number("effectful", day.effectfulShare, 0, 1);
   day.repeatShare = top.number("again", day.repeatShare, 0, 1);
   day.disconnectShare = top.number("leaving", day.disconnectShare, 0, 1);
-  day.slots = top.whole("slots", day.slots, 1, 10000);
+  day.slots = top.integer("slots", day.slots, 1, 10000);
   day.meanServiceTime = top.number("work_s", day.meanServiceTime, 0.001, 100);
   day.syncTime = top.number("sync_s", day.syncTime, 0, 10);
   day.crossZoneDelay = top.number("across_s", day.crossZoneDelay, 0, 10);
-  day.keyWindow = top.number("key_window_s", day.keyWindow, 1, kLongest);
-  day.idleRoutes = top.whole("idle_routes", day.idleRoutes, 0, 100'000);
+  day.keyWindow = top.number("key_window_s", day.keyWindow, 1, kMaxDurationSeconds);
+  day.idleRoutes = top.integer("idle_routes", day.idleRoutes, 0, 100'000);
   day.minServedShare = top.number("least_served", 0, 0, 1);
-  day.keepConnections = top.yes("clients_stay", day.keepConnections);
+  day.keepConnections = top.boolean("clients_stay", day.keepConnections);
   const std::string closing = top.text("closing", "none");
   const auto found = std::find_if(kClosingFaults.begin(), kClosingFaults.end(),
                                   [&](const auto& e) { return e.first == closing; });
   if (found == kClosingFaults.end()) top.fail("closing", "is not a closing fault");
   day.closing = found->second;
-  for (Section& entry : top.each("trouble")) {
+  for (Section& entry : top.tables("trouble")) {
     Fault fault;
     const std::string kind = entry.text("kind", "");
     const auto known =
         std::find_if(kFaultKinds.begin(), kFaultKinds.end(), [&](const auto& e) { return e.first == kind; });
     if (known == kFaultKinds.end()) entry.fail("kind", "is not a known kind");
     fault.kind = known->second;
-    fault.at = entry.number("at_s", 5, 0, kLongest);
-    fault.duration = entry.number("for_s", 3, 0, kLongest);
-    fault.target = entry.whole("who", 0, 0, 1e6);
+    fault.at = entry.number("at_s", 5, 0, kMaxDurationSeconds);
+    fault.duration = entry.number("for_s", 3, 0, kMaxDurationSeconds);
+    fault.target = entry.integer("who", 0, 0, 1e6);
     fault.magnitude = entry.number("part", 0.05, -1000, 1000);
     entry.close();
     day.faults.push_back(fault);
--- a/src/lab/mesh/day_draw.cpp
+++ b/src/lab/mesh/day_draw.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "lab/draws.hpp"
 #include "lab/mesh/day.hpp"
+#include "lab/random.hpp"
 
 namespace rackroute::lab::mesh {
 namespace {
@@ -58,7 +58,8 @@
 
 class DayDrawer {
  public:
-  DayDrawer(std::uint64_t seed, const Day& size) : day_(size), chance_(chanceOf(seed, Purpose::troubles)) {
+  DayDrawer(std::uint64_t seed, const Day& size)
+      : day_(size), chance_(makeRandomEngine(seed, Purpose::troubles)) {
     day_.name = "drawn-" + std::to_string(seed);
     day_.controls = day_.zones = 3 + number(3);
     lanes_.resize(day_.controls == 5 ? 2 : 1);
@@ -78,7 +79,7 @@
   }
 
  private:
-  double between(double least, double most) { return least + fraction(chance_) * (most - least); }
+  double between(double least, double most) { return least + uniform01(chance_) * (most - least); }
   std::uint32_t number(std::uint32_t below) { return static_cast<std::uint32_t>(between(0, below - 0.001)); }
   [[nodiscard]] double lastEnd() const { return day_.seconds - kBeforeClosing; }
 
@@ -125,14 +126,14 @@
 
   // The server's sidecar is killed while the server shuts down.
   void addSidecarKills(const Fault& release) {
-    if (fraction(chance_) < 0.3) return;
+    if (uniform01(chance_) < 0.3) return;
     const double first = release.at + between(0.5, kShutdownTime);
     for (const double at : {first, first + between(0.4, kShutdownTime)})
       day_.faults.push_back({FaultKind::killSidecar, at, 0, release.target, 0});
   }
 
   void addRace(double at) {
-    const FaultKind kind = fraction(chance_) < 0.5 ? FaultKind::race : FaultKind::raceMany;
+    const FaultKind kind = uniform01(chance_) < 0.5 ? FaultKind::race : FaultKind::raceMany;
     day_.faults.push_back({kind, at, 0, number(1000), 0});
   }
 
@@ -163,16 +164,16 @@
     if (fault.kind == FaultKind::diskFull || fault.kind == FaultKind::diskStall) {
       for (int i = 0; i < 3; ++i) addRace(fault.at + between(0, fault.duration));
     }
-    if (isDiskLoss(fault.kind) && fraction(chance_) < kSecondLossShare) addSecondLoss(lane);
+    if (isDiskLoss(fault.kind) && uniform01(chance_) < kSecondLossShare) addSecondLoss(lane);
   }
 
   void setParameters(Fault& fault) {
     if (fault.kind == FaultKind::diskSlow) fault.magnitude = between(4, 30);
     if (fault.kind == FaultKind::diskFull) fault.duration = between(2, 10);
     if (fault.kind == FaultKind::resetControl) fault.magnitude = between(0.3, 1);
-    if (fault.kind == FaultKind::clockStep) fault.magnitude = fraction(chance_) < 0.5 ? -2 : 2;
+    if (fault.kind == FaultKind::clockStep) fault.magnitude = uniform01(chance_) < 0.5 ? -2 : 2;
     if (isDiskLoss(fault.kind)) fault.magnitude = between(0.3, 3);
-    const bool longCut = isControlCut(fault.kind) && fraction(chance_) < kLongCutShare;
+    const bool longCut = isControlCut(fault.kind) && uniform01(chance_) < kLongCutShare;
     if (longCut) {
       const double available = lastEnd() - kCatchUpSeconds - fault.at;
       fault.duration = std::max(fault.duration, std::min(kLongCut, available));
@@ -221,7 +222,7 @@
   }
 
   Day day_;
-  Chance chance_;
+  RandomEngine chance_;
   std::vector<Lane> lanes_;
 };
 
--- a/src/lab/mesh/emulated_files.cpp
+++ b/src/lab/mesh/emulated_files.cpp
@@ -92,7 +92,7 @@
   return Status::OK();
 }
 
-void EmulatedFiles::restart(bool powerLoss, Chance& chance) {
+void EmulatedFiles::restart(bool powerLoss, RandomEngine& chance) {
   changesLeft_.reset();
   scheduled_.clear();
   if (powerLoss) losePower(chance);
@@ -106,9 +106,9 @@
   unsyncedNames_.clear();
 }
 
-void EmulatedFiles::losePower(Chance& chance) {
+void EmulatedFiles::losePower(RandomEngine& chance) {
   for (const NameChange& change : unsyncedNames_) {
-    if (fraction(chance) < 0.5) apply(change, durableNames_, durableFolders_);
+    if (uniform01(chance) < 0.5) apply(change, durableNames_, durableFolders_);
   }
   unsyncedNames_.clear();
   // Files in a folder whose own name was lost are unreachable.
@@ -120,15 +120,15 @@
 }
 
 // A dropped write before one that is kept leaves zeros in its place.
-void EmulatedFiles::loseUnsynced(File& file, Chance& chance) {
-  const bool allDropped = fraction(chance) < kAllDroppedShare;
+void EmulatedFiles::loseUnsynced(File& file, RandomEngine& chance) {
+  const bool allDropped = uniform01(chance) < kAllDroppedShare;
   for (const Write& write : file.unsynced) {
-    const double outcome = allDropped ? 1 : fraction(chance);
+    const double outcome = allDropped ? 1 : uniform01(chance);
     if (outcome >= 2.0 / 3) continue;
     const bool torn = outcome >= 1.0 / 3;
     const std::size_t size = torn ? write.bytes.size() / kTornDivisor : write.bytes.size();
     // The file size may already include blocks that were not written.
-    const bool extended = torn && fraction(chance) < 0.5;
+    const bool extended = torn && uniform01(chance) < 0.5;
     const std::size_t end = write.at + (extended ? write.bytes.size() : size);
     if (file.durable.size() < end) file.durable.resize(end, '\0');
     std::copy_n(write.bytes.begin(), size, file.durable.begin() + static_cast<std::ptrdiff_t>(write.at));
--- a/src/lab/mesh/emulated_files.hpp
+++ b/src/lab/mesh/emulated_files.hpp
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-#include "lab/draws.hpp"
+#include "lab/random.hpp"
 #include "mesh/storage/durable_env.hpp"
 
 namespace rackroute::lab::mesh {
@@ -38,7 +38,7 @@
   /// Emulates a crash after this many further changes of files and names: all later ones fail.
   void failAfter(std::uint64_t changes) { changesLeft_ = changes; }
   /// Prepares the files for the next process, after a power loss or after the end of the process alone.
-  void restart(bool powerLoss, Chance& chance);
+  void restart(bool powerLoss, RandomEngine& chance);
   /// Removes everything from the disk.
   void wipe();
   /// Number of changes of files and names so far.
@@ -96,8 +96,8 @@
   leveldb::Status sync(const FilePtr& file);
   leveldb::Status syncFolder(const std::string& folder);
   void recordNameChange(NameChange change) { unsyncedNames_.push_back(std::move(change)); }
-  void losePower(Chance& chance);
-  static void loseUnsynced(File& file, Chance& chance);
+  void losePower(RandomEngine& chance);
+  static void loseUnsynced(File& file, RandomEngine& chance);
   static void apply(const NameChange& change, Names& names, std::set<std::string>& folders);
 
   Names names_;  // as seen by the running process, by path
--- a/src/lab/mesh/forward_relay.cpp
+++ b/src/lab/mesh/forward_relay.cpp
@@ -59,9 +59,9 @@
   enum class ResetKind { beforeRequest, afterRequest, lateRequest, midResponse, bothEnds };
 
   void fromCaller(std::string bytes) {
-    if (fraction(relay_.rng_) >= relay_.resetRatio_) return sidecar_->write(std::move(bytes));
+    if (uniform01(relay_.rng_) >= relay_.resetRatio_) return sidecar_->write(std::move(bytes));
     ++relay_.resets_;
-    switch (static_cast<ResetKind>(static_cast<int>(fraction(relay_.rng_) * 5))) {
+    switch (static_cast<ResetKind>(static_cast<int>(uniform01(relay_.rng_) * 5))) {
       case ResetKind::beforeRequest:
         caller_->abort();
         return;
@@ -109,7 +109,7 @@
   }
 
   void scheduleWithin(Span maxDelay, std::function<void()> task) {
-    const Span wait = std::chrono::duration_cast<Span>(maxDelay * fraction(relay_.rng_));
+    const Span wait = std::chrono::duration_cast<Span>(maxDelay * uniform01(relay_.rng_));
     relay_.loop_.after(wait, [self = shared_from_this(), task = std::move(task)] { task(); });
   }
 
@@ -128,7 +128,7 @@
 };
 
 ForwardRelay::ForwardRelay(sidecar::Loop& loop, const rackroute::mesh::Address& at,
-                           rackroute::mesh::Address to, Chance& rng)
+                           rackroute::mesh::Address to, RandomEngine& rng)
     : loop_(loop),
       target_(std::move(to)),
       rng_(rng),
--- a/src/lab/mesh/process_children.cpp
+++ b/src/lab/mesh/process_children.cpp
@@ -124,7 +124,7 @@
 }
 
 void ProcessChildren::checkExits() {
-  for (const std::size_t place : children_.endedByThemselves()) {
+  for (const std::size_t place : children_.takeUnexpectedExits()) {
     context_.judge.reportViolation(
         context_.now(), "ENDED",
         context_.machines.nameOf(static_cast<std::uint32_t>(place)) + " exited unexpectedly");
--- a/src/lab/mesh/process_clients.cpp
+++ b/src/lab/mesh/process_clients.cpp
@@ -26,11 +26,11 @@
 
 void ProcessClients::scheduleArrival() {
   if (context_.now() >= context_.loadEnd || context_.day.requestRate <= 0) return;
-  context_.loop.after(spanOf(-std::log(1 - fraction(arrivalRng_)) / context_.day.requestRate),
+  context_.loop.after(spanOf(-std::log(1 - uniform01(arrivalRng_)) / context_.day.requestRate),
                       [this] { scheduleArrival(); });
   LoadRequest wanted;
-  const double kind = fraction(arrivalRng_);
-  const bool other = fraction(arrivalRng_) < 0.4;
+  const double kind = uniform01(arrivalRng_);
+  const bool other = uniform01(arrivalRng_) < 0.4;
   if (kind < context_.day.keyedShare) {
     wanted.route = other ? 2 : 1;
     wanted.key = "k" + std::to_string(++keys_);
@@ -142,12 +142,12 @@
 // Repeats a ratio of the keyed requests after a success.
 void ProcessClients::maybeRepeat(const LoadRequest& wanted) {
   const RouteSpec& route = kRoutes[wanted.route];
-  if (route.kind != RequestKind::keyed || wanted.isRepeat || fraction(rng_) >= context_.day.repeatShare)
+  if (route.kind != RequestKind::keyed || wanted.isRepeat || uniform01(rng_) >= context_.day.repeatShare)
     return;
   LoadRequest next = wanted;
   next.isRepeat = true;
   next.deadline = context_.now() + spanOf(route.deadline) + 1s;
-  context_.loop.after(spanOf(fraction(rng_)), [this, next] { sendRequest(anySidecar(), next); });
+  context_.loop.after(spanOf(uniform01(rng_)), [this, next] { sendRequest(anySidecar(), next); });
 }
 
 }  // namespace rackroute::lab::mesh
--- a/src/lab/mesh/process_clients.hpp
+++ b/src/lab/mesh/process_clients.hpp
@@ -10,9 +10,9 @@
 #include <set>
 #include <string>
 
-#include "lab/draws.hpp"
 #include "lab/mesh/process_context.hpp"
 #include "lab/mesh/process_servers.hpp"
+#include "lab/random.hpp"
 
 namespace rackroute::lab::mesh {
 
@@ -20,8 +20,8 @@
  public:
   /// When the process on a machine was last killed or frozen.
   using DisturbedAt = std::function<Span(std::uint32_t machine)>;
-  ProcessClients(ProcessContext& context, const ProcessServers& servers, Chance& arrivalRng, Chance& rng,
-                 DisturbedAt disturbedAt)
+  ProcessClients(ProcessContext& context, const ProcessServers& servers, RandomEngine& arrivalRng,
+                 RandomEngine& rng, DisturbedAt disturbedAt)
       : context_(context),
         servers_(servers),
         arrivalRng_(arrivalRng),
@@ -52,13 +52,13 @@
   void maybeRepeat(const LoadRequest& wanted);
   [[nodiscard]] std::uint32_t anySidecar() {
     return context_.machines.sidecarMachine(
-        static_cast<std::uint32_t>(fraction(rng_) * context_.day.sidecars));
+        static_cast<std::uint32_t>(uniform01(rng_) * context_.day.sidecars));
   }
 
   ProcessContext& context_;
   const ProcessServers& servers_;
-  Chance& arrivalRng_;
-  Chance& rng_;
+  RandomEngine& arrivalRng_;
+  RandomEngine& rng_;
   DisturbedAt disturbedAt_;
   std::map<std::uint64_t, InFlight> inFlight_;        // by attempt
   std::map<std::uint64_t, std::uint32_t> machineOf_;  // by attempt
--- a/src/lab/mesh/process_servers.cpp
+++ b/src/lab/mesh/process_servers.cpp
@@ -169,7 +169,7 @@
   const Span wait = std::chrono::duration_cast<Span>(
       std::chrono::duration<double>(serviceTime.draw(rng_) * server.slowdown));
   const Span done = context_.now() + wait;
-  const double sample = fraction(rng_);
+  const double sample = uniform01(rng_);
   context_.loop.at(context_.startTime + std::min(done, work.deadline),
                    [this, machine, connection, work, seal, sample, instanceNo = server.instanceNo,
                     inTime = done <= work.deadline] {
--- a/src/lab/mesh/process_servers.hpp
+++ b/src/lab/mesh/process_servers.hpp
@@ -10,8 +10,8 @@
 #include <memory>
 #include <string>
 
-#include "lab/draws.hpp"
 #include "lab/mesh/process_context.hpp"
+#include "lab/random.hpp"
 #include "mesh/transport/http_server_connection.hpp"
 #include "mesh/transport/listener.hpp"
 
@@ -20,7 +20,8 @@
 class ProcessServers {
  public:
   /// callerOf: the service on the machine where a client sent the attempt.
-  ProcessServers(ProcessContext& context, Chance& rng, std::function<int(std::uint64_t attempt)> callerOf)
+  ProcessServers(ProcessContext& context, RandomEngine& rng,
+                 std::function<int(std::uint64_t attempt)> callerOf)
       : context_(context), rng_(rng), callerOf_(std::move(callerOf)) {}
 
   /// Opens the listener, which all instances on the machine share; throws Poco exceptions if binding fails.
@@ -80,7 +81,7 @@
               bool inTime, double sample);
 
   ProcessContext& context_;
-  Chance& rng_;
+  RandomEngine& rng_;
   std::function<int(std::uint64_t)> callerOf_;
   std::map<std::uint32_t, Server> servers_;  // by machine
   std::map<std::uint64_t, Run> runs_;        // by seal
--- a/src/lab/mesh/processes.cpp
+++ b/src/lab/mesh/processes.cpp
@@ -8,12 +8,12 @@
 #include <utility>
 
 #include "lab/children.hpp"
-#include "lab/draws.hpp"
 #include "lab/mesh/forward_relay.hpp"
 #include "lab/mesh/process_children.hpp"
 #include "lab/mesh/process_clients.hpp"
 #include "lab/mesh/process_operators.hpp"
 #include "lab/mesh/process_servers.hpp"
+#include "lab/random.hpp"
 #include "sidecar/log.hpp"
 
 namespace rackroute::lab::mesh {
@@ -81,9 +81,9 @@
   ProcessMesh(const Day& day, const ProcessRunOptions& options)
       : day_(day),
         options_(options),
-        arrivalRng_(chanceOf(options.seed, Purpose::arrivals)),
-        rng_(chanceOf(options.seed, Purpose::clients)),
-        resetRng_(chanceOf(options.seed, Purpose::network)),
+        arrivalRng_(makeRandomEngine(options.seed, Purpose::arrivals)),
+        rng_(makeRandomEngine(options.seed, Purpose::clients)),
+        resetRng_(makeRandomEngine(options.seed, Purpose::network)),
         judge_({kDrainTime, kApplyTime, spanOf(day.keyWindow), kRetryWindow, kRetryRatio, kRetrySlack}),
         httpClient_(loop_, {300ms, 5s, Span{0}, 1 << 20, 64}),
         machines_(day_, 20 + static_cast<std::uint32_t>(::getpid()) % 200),
@@ -111,7 +111,7 @@
 
   Day day_;
   const ProcessRunOptions& options_;
-  Chance arrivalRng_, rng_, resetRng_;
+  RandomEngine arrivalRng_, rng_, resetRng_;
   sidecar::Loop loop_;
   Judge judge_;
   HttpClient httpClient_;
@@ -132,7 +132,7 @@
   maxLoopDelay_ = std::max(maxLoopDelay_, context_.now() - lastCheckAt_ - kCheckInterval);
   lastCheckAt_ = context_.now();
   children_.checkExits();
-  if (Children::brokenOff()) return loop_.stop();
+  if (Children::interrupted()) return loop_.stop();
   loop_.after(kCheckInterval, [this] { checkProgress(); });
 }
 
@@ -257,7 +257,7 @@
   ProcessRunResult result;
   result.figures = finishDay(judge_, operators_.table(), day_.minServedShare, context_.now());
   result.violations = judge_.violations();
-  result.late = maxLoopDelay_ > kLoopDelayLimit || Children::brokenOff();
+  result.late = maxLoopDelay_ > kLoopDelayLimit || Children::interrupted();
   result.figures["kills"] = kills_;
   result.figures["keyed_at_work_when_killed"] = keyedInFlightAtKills_;
   result.figures["latest_look_ms"] = secondsOf(maxLoopDelay_) * 1000;
--- a/src/lab/mesh/world_control_faults.cpp
+++ b/src/lab/mesh/world_control_faults.cpp
@@ -155,7 +155,7 @@
   disturbControls(duration + 500ms);
   for (const std::size_t control : controlSlots_) {
     kill(control, powerLoss);
-    restart(control, powerLoss ? duration + span(0.3 * fraction(network_)) : kRestartDelay);
+    restart(control, powerLoss ? duration + span(0.3 * uniform01(network_)) : kRestartDelay);
   }
 }
 
@@ -226,7 +226,7 @@
   for (std::uint32_t i = 0; sidecarsLosePower && i < day_.sidecars; ++i) {
     disturbSidecar(i, kClosingOutage);
     kill(sidecarMachine(i), true);
-    restart(sidecarMachine(i), kClosingOutage + span(0.5 * fraction(network_)));
+    restart(sidecarMachine(i), kClosingOutage + span(0.5 * uniform01(network_)));
   }
 }
 
--- a/src/lab/mesh/world_disconnects.cpp
+++ b/src/lab/mesh/world_disconnects.cpp
@@ -5,8 +5,8 @@
 namespace rackroute::lab::mesh::emulated {
 
 void World::maybeDisconnect(std::size_t machine, std::uint64_t call, Span deadline) {
-  if (day_.disconnectShare <= 0 || fraction(clients_) >= day_.disconnectShare) return;
-  const Span wait = span(fraction(clients_) * std::chrono::duration<double>(deadline - now_).count() / 2);
+  if (day_.disconnectShare <= 0 || uniform01(clients_) >= day_.disconnectShare) return;
+  const Span wait = span(uniform01(clients_) * std::chrono::duration<double>(deadline - now_).count() / 2);
   runOnProcess(now_ + wait, machine, machines_[machine].incarnation,
                [this, machine, call] { disconnectClient(machine, call); });
 }
--- a/src/lab/mesh/world_disks.cpp
+++ b/src/lab/mesh/world_disks.cpp
@@ -42,7 +42,7 @@
 void World::closeDisk(std::size_t machine, bool powerLoss) {
   Disk& disk = controlOn(machine).disk;
   if (disk.syncing > 0) {
-    disk.files->failAfter(static_cast<std::uint64_t>(fraction(network_) * kChangesPerWrite));
+    disk.files->failAfter(static_cast<std::uint64_t>(uniform01(network_) * kChangesPerWrite));
     writePending(disk);
   }
   disk.database.reset();
--- a/src/lab/mesh/world_operators.cpp
+++ b/src/lab/mesh/world_operators.cpp
@@ -72,8 +72,8 @@
 
 std::map<std::uint32_t, std::uint64_t> World::pickRoutes(std::uint32_t minCount, std::uint32_t maxCount) {
   std::map<std::uint32_t, std::uint64_t> routes;
-  const auto count = minCount + static_cast<std::uint32_t>(fraction(operators_) * (maxCount - minCount + 1));
-  const auto first = static_cast<std::uint32_t>(fraction(operators_) * ledger_.routes());
+  const auto count = minCount + static_cast<std::uint32_t>(uniform01(operators_) * (maxCount - minCount + 1));
+  const auto first = static_cast<std::uint32_t>(uniform01(operators_) * ledger_.routes());
   for (std::uint32_t i = 0; i < count; ++i)
     routes[(first + i) % ledger_.routes()] = ledger_.nextVersion(first + i);
   return routes;
@@ -121,7 +121,7 @@
 void World::submitStormOrder(Span interval, const std::shared_ptr<std::uint32_t>& remaining) {
   if (*remaining == 0 || now_ >= end_) return;
   --*remaining;
-  const double kind = fraction(operators_);
+  const double kind = uniform01(operators_);
   std::map<std::uint32_t, std::uint64_t> routes;
   if (kind < kStormRaceShare && !stormRace_.empty()) {
     routes = std::exchange(stormRace_, {});
@@ -129,7 +129,7 @@
     routes = kind < kStormRaceShare + kStormMultiShare ? pickRoutes(2, 4) : pickRoutes(1, 1);
     stormRace_ = routes;
   }
-  const auto control = static_cast<std::uint32_t>(fraction(operators_) * day_.controls);
+  const auto control = static_cast<std::uint32_t>(uniform01(operators_) * day_.controls);
   const Span next = now_ + interval;
   sendOrder(control, {ledger_.change(routes, true), kStormTries, [this, interval, remaining, next](Status) {
                         runAt(next, [this, interval, remaining] { submitStormOrder(interval, remaining); });
--- a/src/lab/mesh/world_requests.cpp
+++ b/src/lab/mesh/world_requests.cpp
@@ -7,11 +7,11 @@
 
 void World::generateRequests() {
   if (now_ >= end_) return;
-  runAfter(span(-std::log(1 - fraction(arrivals_)) / std::max(day_.requestRate, 0.001)),
+  runAfter(span(-std::log(1 - uniform01(arrivals_)) / std::max(day_.requestRate, 0.001)),
            [this] { generateRequests(); });
   LoadRequest request;
-  const double kind = fraction(arrivals_);
-  const bool otherService = fraction(arrivals_) < 0.4;
+  const double kind = uniform01(arrivals_);
+  const bool otherService = uniform01(arrivals_) < 0.4;
   if (kind < day_.keyedShare) {
     request.route = otherService ? 2 : 1;
     request.key = "k" + std::to_string(++keyNo_);
@@ -21,7 +21,7 @@
     request.route = otherService ? 3 : 0;
   }
   request.deadline = now_ + span(kRoutes[request.route].deadline);
-  const auto machine = sidecarMachine(static_cast<std::uint32_t>(fraction(arrivals_) * day_.sidecars));
+  const auto machine = sidecarMachine(static_cast<std::uint32_t>(uniform01(arrivals_) * day_.sidecars));
   sendRequest(machine, request);
 }
 
@@ -79,12 +79,12 @@
   const RouteSpec& route = kRoutes[request.route];
   LoadRequest next = request;
   if (status == 200) {
-    if (route.kind == RequestKind::keyed && !request.isRepeat && fraction(clients_) < day_.repeatShare) {
+    if (route.kind == RequestKind::keyed && !request.isRepeat && uniform01(clients_) < day_.repeatShare) {
       next.isRepeat = true;
       next.deadline = now_ + span(route.deadline) + 1s;
       const auto otherMachine =
-          sidecarMachine(static_cast<std::uint32_t>(fraction(clients_) * day_.sidecars));
-      runAfter(span(fraction(clients_)), [this, otherMachine, next] { sendRequest(otherMachine, next); });
+          sidecarMachine(static_cast<std::uint32_t>(uniform01(clients_) * day_.sidecars));
+      runAfter(span(uniform01(clients_)), [this, otherMachine, next] { sendRequest(otherMachine, next); });
     }
     return;
   }
@@ -94,7 +94,7 @@
   if (++next.tries > 2 || next.deadline - now_ < 100ms) return;
   const Span wait = std::min<Span>(retryAfter, (next.deadline - now_) / 3) + 5ms;
   const std::size_t target =
-      status == 0 ? sidecarMachine(static_cast<std::uint32_t>(fraction(clients_) * day_.sidecars)) : machine;
+      status == 0 ? sidecarMachine(static_cast<std::uint32_t>(uniform01(clients_) * day_.sidecars)) : machine;
   runAfter(wait, [this, target, next] { sendRequest(target, next); });
 }
 
@@ -206,7 +206,7 @@
     Distribution work{Shape::lognormal, day_.meanServiceTime, 0.6};
     double serviceTime = work.draw(clients_) * current.slowdown;
     if (current.coldUntil > now_) serviceTime *= 2;
-    const double outcome = fraction(clients_);
+    const double outcome = uniform01(clients_);
     const double lossShare = current.lossShare;
     const double malformedShare = current.malformedShare;
     const Span done = now_ + span(serviceTime);
--- a/src/lab/mesh/world_servers.cpp
+++ b/src/lab/mesh/world_servers.cpp
@@ -33,19 +33,19 @@
   if (server.draining && server.signsOffFirst) {
     // It signs off; an earlier heartbeat may be delayed past that.
     if (server.drainAckedAt >= Span{0}) return;
-    if (fraction(clients_) < kLateCallShare) sendServerCallLate(machine, serverIncarnation, beat);
+    if (uniform01(clients_) < kLateCallShare) sendServerCallLate(machine, serverIncarnation, beat);
     ServerHeartbeat signOff;
     signOff.id = beat.id;
     signOff.gone = true;
     return sendServerCall(machine, serverIncarnation, signOff);
   }
-  if (fraction(clients_) < kLateCallShare) return sendServerCallLate(machine, serverIncarnation, beat);
+  if (uniform01(clients_) < kLateCallShare) return sendServerCallLate(machine, serverIncarnation, beat);
   sendServerCall(machine, serverIncarnation, beat);
 }
 
 void World::sendServerCallLate(std::size_t machine, std::uint64_t serverIncarnation,
                                const ServerHeartbeat& beat) {
-  runAfter(span(kMaxCallDelay * fraction(clients_)),
+  runAfter(span(kMaxCallDelay * uniform01(clients_)),
            [this, machine, serverIncarnation, beat] { sendServerCall(machine, serverIncarnation, beat); });
 }
 
@@ -70,8 +70,8 @@
       server.drainAckedAt >= Span{0})
     return;
   server.drainAckedAt = now_;
-  const bool servesAfterDrain = fraction(clients_) < kServesAfterDrainShare;
-  const Span extra = servesAfterDrain ? span(kMaxExtraTime * fraction(clients_)) : Span{500ms};
+  const bool servesAfterDrain = uniform01(clients_) < kServesAfterDrainShare;
+  const Span extra = servesAfterDrain ? span(kMaxExtraTime * uniform01(clients_)) : Span{500ms};
   runAfter(kDrainTime + extra,
            [this, machine, serverIncarnation = serverIncarnation] { endServer(machine, serverIncarnation); });
 }
@@ -79,7 +79,7 @@
 void World::startShutdown(std::size_t machine, std::uint64_t serverIncarnation) {
   Server& server = sidecarOn(machine).server;
   server.shutdownSince = now_;
-  server.signsOffFirst = fraction(clients_) < kSignOffFirstShare;
+  server.signsOffFirst = uniform01(clients_) < kSignOffFirstShare;
   runAfter(kShutdownTimeout, [this, machine, serverIncarnation] {
     const Server& current = sidecarOn(machine).server;
     if (current.incarnation == serverIncarnation && current.drainAckedAt < Span{0})
@@ -105,7 +105,7 @@
   server.incarnation = incarnation;
   server.id = "i-" + machines_[machine].name + "-" + std::to_string(incarnation);
   server.coldUntil = now_ + 2s;
-  runAfter(span(0.3 * fraction(network_)),
+  runAfter(span(0.3 * uniform01(network_)),
            [this, machine, incarnation] { sendHeartbeat(machine, incarnation); });
 }
 
--- a/src/lab/mesh/world_watch.cpp
+++ b/src/lab/mesh/world_watch.cpp
@@ -16,7 +16,7 @@
   if (now_ >= end_) return;
   runAfter(kProbeInterval, [this] { probeReads(); });
   const std::size_t machine =
-      controlMachine(static_cast<std::uint32_t>(fraction(operators_) * day_.controls));
+      controlMachine(static_cast<std::uint32_t>(uniform01(operators_) * day_.controls));
   const Machine& m = machines_[machine];
   if (m.incarnation == 0 || m.poweredOff) return;
   const MinVersions minimum = ledger_.minVersionsAt(now_);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -9,7 +9,7 @@
 #include "balancer_fixture.hpp"
 #include "fleet/membership.hpp"
 #include "fleet/wire.hpp"
-#include "lab/fleet/judge.hpp"
+#include "lab/fleet/drill_checker.hpp"
 #include "lab/fleet/virtual_fleet.hpp"
 
 using namespace rackroute;
@@ -417,15 +417,15 @@
 settle_s = 15
 hearing = "whole")";
   const lab::Drill drill = lab::readDrillText(text, "halves");
-  const lab::Json run = lab::playDrillVirtual(drill, 5);
+  const lab::Json run = lab::runDrillVirtual(drill, 5);
   CHECK(run["kept"] == true);
   CHECK(run["figures"]["deaths_told"] > 0);
-  CHECK(lab::playDrillVirtual(drill, 5).dump() == run.dump());  // deterministic
+  CHECK(lab::runDrillVirtual(drill, 5).dump() == run.dump());  // deterministic
   // A cut that lasts to the end of the run must fail the drill.
   lab::Drill cutUntilEnd = drill;
   cutUntilEnd.faults[0].length = 0s;
-  cutUntilEnd.promised.hearing = "whole";
-  CHECK(lab::playDrillVirtual(cutUntilEnd, 5)["kept"] == false);
+  cutUntilEnd.expected.hearing = "whole";
+  CHECK(lab::runDrillVirtual(cutUntilEnd, 5)["kept"] == false);
 }
 
 TEST_CASE("errors in a drill file name the key") {
