--- a/src/lab/mesh/agreement_histories.cpp
+++ b/src/lab/mesh/agreement_histories.cpp
@@ -355,7 +355,7 @@
     std::size_t items = 0;
     for (const Item& item : orders_[i]->items) {
       const Item* current = live.items.find(item.key);
-      items += current != nullptr && current->print == item.hash;
+      items += current != nullptr && current->hash == item.hash;
     }
     if (items > 0) node.applied |= 1U << i;
     if (items > 0 && items < orders_[i]->items.size()) node.partial = true;
