--- a/src/mesh/admission/admission.cpp
+++ b/src/mesh/admission/admission.cpp
@@ -52,7 +52,7 @@
   AdmissionActions actions;
   heartbeatSeen_ = true;
   Server& server = findOrAddServer(now, heartbeat);
-  const Served before = server.announced;
+  const ServerRecord before = server.announced;
   server.lastHeartbeat = now;
   const bool late = !heartbeat.gone && before.seq > 0 && heartbeat.seq <= server.seq;
   if (!heartbeat.gone && !late && !server.announced.gone) {
@@ -68,7 +68,7 @@
     server.coldUntil = now + heartbeat.coldLeft;
   }
   markDeparture(now, server, heartbeat.draining, heartbeat.gone);
-  Served plain = server.announced;
+  ServerRecord plain = server.announced;
   plain.coldLeft = before.coldLeft;
   // Other processes count the warm-up time down themselves, so a change of it alone is not announced.
   if (!(plain == before) || before.seq == 0) announce(server, actions);
@@ -89,7 +89,7 @@
   const auto departure = departed_.find(heartbeat.id);
   const bool drained = departure != departed_.end() && departure->second.draining;
   const bool gone = departure != departed_.end() && departure->second.gone;
-  // An earlier life of this process may have seen the start of the drain. Assuming that the drain time is
+  // An earlier run of this process may have seen the start of the drain. Assuming that the drain time is
   // over keeps a restart from extending it.
   if (drained || heartbeat.draining) added.drainingSince = now - config_.drain;
   markDeparture(now, added, drained, gone);
@@ -115,9 +115,9 @@
   server.announced.gone = server.announced.gone || gone;
 }
 
-// Applies a drain or sign-off that an earlier life of this process acknowledged. Late heartbeats and old
+// Applies a drain or sign-off that an earlier run of this process acknowledged. Late heartbeats and old
 // announcements may still describe the server as ready.
-void Admission::applyKnownDeparture(Span now, const Served& served, AdmissionActions& actions) {
+void Admission::applyKnownDeparture(Span now, const ServerRecord& served, AdmissionActions& actions) {
   if (served.node != config_.node || (!served.draining && !served.gone)) return;
   const auto found = servers_.find(served.id);
   if (found == servers_.end()) {
@@ -161,11 +161,11 @@
 
 // Lets a server receive work between a restart of this process and the server's next heartbeat. This is safe
 // because a server refuses requests that are meant for another instance.
-AdmissionActions Admission::adopt(Span now, const Served& served) {
+AdmissionActions Admission::adopt(Span now, const ServerRecord& served) {
   AdmissionActions actions;
   applyKnownDeparture(now, served, actions);
   const bool same = served.node == config_.node && served.service == config_.service;
-  // Announced in this life, before or after continueAfterLife(), or in a life before the superseded one.
+  // Announced in this run, before or after continueAfterLife(), or in a run before the superseded one.
   const bool own =
       served.life == config_.life || served.life == announcedLife_ || served.life < supersededLife_;
   if (heartbeatSeen_ || leaving_ || config_.server.value.empty() || !same || own) return actions;
@@ -190,7 +190,7 @@
 
 AdmissionActions Admission::continueAfterLife(LifeNo highest) {
   AdmissionActions actions;
-  // An equal number belongs to another life only if this one has announced nothing yet.
+  // An equal number belongs to another run only if this one has announced nothing yet.
   const bool higher = highest > announcedLife_ || (highest == announcedLife_ && lastSeq_ == 0);
   if (!higher || highest.value == std::numeric_limits<std::uint64_t>::max()) return actions;
   supersededLife_ = highest;
@@ -265,7 +265,7 @@
       }
     }
     if (request.holder) {
-      // A claim of this life was released; the outcome of one of an earlier life is unknown.
+      // A claim of this run was released; the outcome of one of an earlier run is unknown.
       ForwardReply reply =
           replyFor(now, *request.holder == config_.life ? Verdict::noQuorum : Verdict::unknown, known);
       answer(reply);
@@ -358,7 +358,7 @@
   for (const InboundRequestId waiting : expired) refuse(now, waiting, Verdict::overloaded, &server, actions);
 }
 
-// Ends a job that certainly did not run, with a verdict that says so.
+// Ends a job that certainly did not run, with a verdict that reports this.
 void Admission::refuse(Span now, InboundRequestId no, Verdict verdict, const Server* server,
                        AdmissionActions& actions, std::optional<Holder> holder) {
   const auto found = jobs_.find(no);
@@ -632,8 +632,8 @@
   return actions;
 }
 
-std::vector<Served> Admission::servers() const {
-  std::vector<Served> all;
+std::vector<ServerRecord> Admission::servers() const {
+  std::vector<ServerRecord> all;
   for (const auto& [id, server] : servers_) all.push_back(server.announced);
   return all;
 }
--- a/src/mesh/admission/admission.hpp
+++ b/src/mesh/admission/admission.hpp
@@ -60,7 +60,7 @@
   std::size_t size = 0;                 // answer: memory held by the bytes
   KeyHash key{};                        // claim, releaseClaim
   ClaimNo claim{};                      // claim, releaseClaim
-  Served served{};                      // announce
+  ServerRecord served{};                // announce
 };
 using AdmissionActions = std::vector<AdmissionAction>;
 
@@ -80,12 +80,12 @@
   explicit Admission(Config config);
 
   AdmissionActions heartbeat(Span now, const ServerHeartbeat& heartbeat);
-  /// Takes over what other processes know of a local server from an earlier life of this process: until the
+  /// Takes over what other processes know of a local server from an earlier run of this process: until the
   /// first heartbeat that it is ready, and permanently that it drains or has signed off.
-  AdmissionActions adopt(Span now, const Served& served);
-  /// Handles a control process's highest known life of this node. If it is not older than this process's
-  /// (the clock was stepped back), announcements continue in the life after it, as they would be dropped as
-  /// outdated otherwise, and all servers are announced again. Holders of claims keep the original life.
+  AdmissionActions adopt(Span now, const ServerRecord& served);
+  /// Handles the highest life number of this node that a control process knows. If this process's number is
+  /// not higher (the clock was stepped back), announcements continue with the next number, as they would be
+  /// dropped as outdated otherwise, and all servers are announced again. Claims keep the original number.
   AdmissionActions continueAfterLife(LifeNo highest);
   /// A request forwarded by another process; key: its operation key, if its route is keyed.
   AdmissionActions handleRequest(Span now, InboundRequestId no, const ForwardRequest& request,
@@ -94,7 +94,7 @@
   AdmissionActions executionEnded(Span now, InboundRequestId no, ExecutionResult how,
                                   const ServerAnswer& answer);
   /// The connection of a forwarded request has closed. A queued request is refused; a running one is
-  /// cancelled if it is pure; a keyed one continues, as a repeat may ask for its answer.
+  /// cancelled if it is pure; a keyed one continues, as a repeat may request its answer.
   AdmissionActions abandoned(Span now, InboundRequestId no);
   AdmissionActions tick(Span now);
   /// The latest time for the next tick(); none: no deadline is pending.
@@ -104,12 +104,12 @@
   AdmissionActions leave(Span now);
   [[nodiscard]] LifeNo life() const { return config_.life; }
   [[nodiscard]] std::size_t inFlight() const { return jobs_.size(); }
-  [[nodiscard]] std::vector<Served> servers() const;
+  [[nodiscard]] std::vector<ServerRecord> servers() const;
   [[nodiscard]] std::size_t cachedBytes() const { return cachedBytes_; }
 
  private:
   struct Server {
-    Served announced;
+    ServerRecord announced;
     Address address;
     std::uint64_t seq = 0;             // of its last heartbeat
     Span drainingSince = Span::max();  // a full drain time ago, if it drained when first seen here
@@ -149,7 +149,7 @@
   void evictIdleServer();
   void markDeparture(Span now, Server& server, bool draining, bool gone) const;
   /// Applies a departure that other processes know of.
-  void applyKnownDeparture(Span now, const Served& served, AdmissionActions& actions);
+  void applyKnownDeparture(Span now, const ServerRecord& served, AdmissionActions& actions);
   void markReplaced(Span now, Server& server, AdmissionActions& actions);
   void refuseWaiting(Span now, Server& server, AdmissionActions& actions);
   void startOrEnqueue(Span now, Job& job, Server& server, AdmissionActions& actions);
@@ -172,8 +172,8 @@
   Config config_;
   Claims claims_;
   std::map<InstanceId, Server> servers_;
-  std::map<InstanceId, Served> departed_;  // reported by others; no heartbeat was received in this life
-  std::deque<InstanceId> departedOrder_;   // oldest first
+  std::map<InstanceId, ServerRecord> departed_;  // reported by others; no heartbeat was received in this run
+  std::deque<InstanceId> departedOrder_;         // oldest first
   std::map<InboundRequestId, Job> jobs_;
   std::map<ClaimNo, InboundRequestId> jobsByClaim_;
   std::unordered_map<KeyHash, Operation, KeyHashHasher> operations_;
@@ -182,10 +182,10 @@
   std::deque<std::pair<Span, KeyHash>> endedOperations_;  // oldest first
   std::size_t cachedBytes_ = 0;
   std::uint64_t lastSeq_ = 0;
-  LifeNo announcedLife_;   // config_.life, unless an earlier life had a higher number
-  LifeNo supersededLife_;  // that earlier life; 0: none
+  LifeNo announcedLife_;   // config_.life, unless an earlier run had a higher number
+  LifeNo supersededLife_;  // number of that earlier run; 0: none
   std::pair<LifeNo, std::uint64_t> adoptedVersion_{};  // of the last announcement that was adopted
-  bool heartbeatSeen_ = false;                         // in this life
+  bool heartbeatSeen_ = false;                         // in this run
   bool leaving_ = false;
 };
 
--- a/src/mesh/balancing/server_pool.cpp
+++ b/src/mesh/balancing/server_pool.cpp
@@ -33,7 +33,7 @@
 ServerPool::ServerPool(std::string ownZone, NodeName self, std::uint64_t seed)
     : ownZone_(std::move(ownZone)), self_(std::move(self)), random_(seed) {}
 
-void ServerPool::update(Span now, const Served& server, bool connected) {
+void ServerPool::update(Span now, const ServerRecord& server, bool connected) {
   Group& group = groups_[server.service];
   const auto found = group.find(server.id);
   if (found == group.end()) {
--- a/src/mesh/balancing/server_pool.hpp
+++ b/src/mesh/balancing/server_pool.hpp
@@ -45,7 +45,7 @@
   ServerPool(std::string ownZone, NodeName self, std::uint64_t seed);
 
   /// Adds or updates a server. connected: whether its sidecar has a session with the control plane.
-  void update(Span now, const Served& server, bool connected);
+  void update(Span now, const ServerRecord& server, bool connected);
   /// Picks one of the service's servers that is not excluded. None: no server is eligible.
   std::optional<PickedServer> pick(Span now, const ServiceName& service, bool keyed,
                                    const std::set<InstanceId>& excluded);
@@ -59,7 +59,7 @@
 
  private:
   struct Server {
-    Served record;
+    ServerRecord record;
     bool connected = true;
     Span connectionChangedAt{};
     Span coldUntil{};
@@ -77,7 +77,7 @@
   };
   using Group = std::map<InstanceId, Server>;
   [[nodiscard]] static bool usable(const Server& server) {
-    const Served& record = server.record;
+    const ServerRecord& record = server.record;
     return !record.draining && !record.gone && !record.replaced && !record.leaving &&
            !server.reportedDraining;
   }
--- a/src/mesh/control/registry_publisher.cpp
+++ b/src/mesh/control/registry_publisher.cpp
@@ -19,7 +19,7 @@
 void RegistryPublisher::serversReported(const ServersUpdate& update, Updates& updates) {
   std::vector<ServerStatus> changed;
   for (const ServerStatus& status : update.servers) {
-    for (Served& served : registry_.update(status.served)) {
+    for (ServerRecord& served : registry_.update(status.served)) {
       const bool connected = registry_.connected(served.node);
       changed.push_back({std::move(served), connected});
     }
@@ -45,7 +45,8 @@
                                          Updates& updates) {
   std::vector<ServerStatus> changed;
   for (const ServerStatus& status : update.servers) {
-    for (Served& served : registry_.update(status.served)) changed.push_back({std::move(served), false});
+    for (ServerRecord& served : registry_.update(status.served))
+      changed.push_back({std::move(served), false});
   }
   for (const auto& [node, connected] : update.nodes) {
     if (registry_.setReportedSession(now, reporter, node, connected))
--- a/src/mesh/control/registry_publisher.hpp
+++ b/src/mesh/control/registry_publisher.hpp
@@ -34,7 +34,7 @@
   /// The sidecars connected to this process and their servers, for a control process that has just connected.
   [[nodiscard]] RegistryUpdate localState() const;
   /// Restores a server whose departure is recorded on disk.
-  void restore(const Served& served) { registry_.update(served); }
+  void restore(const ServerRecord& served) { registry_.update(served); }
   /// Removes expired entries. Returns the removed servers that had announced their departure.
   std::vector<InstanceId> sweep(Span now) { return registry_.sweep(now); }
   [[nodiscard]] std::size_t members(Span now) const { return registry_.members(now); }
--- a/src/mesh/names.hpp
+++ b/src/mesh/names.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The mesh's kinds of id and what its parts say to each other about. It decides nothing.
+// Identifier types and the records that the mesh processes exchange. Contains no logic.
 
 #include <cstdint>
 #include <string>
@@ -9,38 +9,38 @@
 
 namespace rackroute::mesh {
 
-using NodeName = Id<struct NodeTag, std::string>;            // a machine's process, as its settings name it
+using NodeName = Id<struct NodeTag, std::string>;            // a machine's sidecar, named in its settings
 using ServiceName = Id<struct ServiceTag, std::string>;      // a service, called target on the wire
-using InstanceId = Id<struct InstanceTag, std::string>;      // one life of one server
+using InstanceId = Id<struct InstanceTag, std::string>;      // one run of one server, from start to exit
 using Address = Id<struct AddressTag, std::string>;          // ip:port
-using LifeNo = Id<struct LifeTag, std::uint64_t>;            // one life of one process of the mesh
-using Generation = Id<struct GenerationTag, std::uint64_t>;  // the version of one item
-using ClaimNo = Id<struct ClaimTag, std::uint64_t>;          // counts the claims of one life
+using LifeNo = Id<struct LifeTag, std::uint64_t>;            // a run of a mesh process; later runs are higher
+using Generation = Id<struct GenerationTag, std::uint64_t>;  // the version of one configuration item
+using ClaimNo = Id<struct ClaimTag, std::uint64_t>;          // numbers the claims of one run
 
-/// Who holds an operation's key: one claim of one life of one data-plane process.
+/// The owner of an operation's key: one claim by one run of a sidecar.
 struct Holder {
-  Address at;  // where that process takes requests from others of the mesh
+  Address at;  // where that sidecar accepts requests from other mesh processes
   LifeNo life;
   ClaimNo no;
   auto operator<=>(const Holder&) const = default;
 };
 
-/// One server as its own machine's process tells of it.
-struct Served {
+/// The state of one server as reported by the sidecar on its machine.
+struct ServerRecord {
   InstanceId id;
   ServiceName service;
-  Address at;  // of the process beside it, which takes requests for it
+  Address at;  // of the sidecar, which accepts requests for the server
   NodeName node;
   std::string zone;
-  LifeNo life;                 // of that process
-  std::uint64_t seq = 0;       // rises with every word about the server within that life
-  std::uint32_t capacity = 1;  // requests at once
-  bool draining = false;       // it said so
-  bool gone = false;           // it signed off
-  bool replaced = false;       // another server is at its address: it ended without a word
-  bool leaving = false;        // not the server, but that process, in that life
-  Span coldLeft{};
-  bool operator==(const Served&) const = default;
+  LifeNo life;                 // the run of the sidecar
+  std::uint64_t seq = 0;       // increases with each change to the record within that run
+  std::uint32_t capacity = 1;  // concurrent requests
+  bool draining = false;       // the server announced that it drains
+  bool gone = false;           // the server deregistered
+  bool replaced = false;       // superseded by another server of the sidecar, without having deregistered
+  bool leaving = false;        // the sidecar, in that run, is shutting down
+  Span coldLeft{};             // remaining warm-up time
+  bool operator==(const ServerRecord&) const = default;
 };
 
 }  // namespace rackroute::mesh
--- a/src/mesh/registry/registry.cpp
+++ b/src/mesh/registry/registry.cpp
@@ -47,9 +47,9 @@
   return changed;
 }
 
-std::vector<Served> Registry::update(const Served& served) {
+std::vector<ServerRecord> Registry::update(const ServerRecord& served) {
   const auto [found, added] = servers_.try_emplace(served.id, served);
-  std::vector<Served> changed;
+  std::vector<ServerRecord> changed;
   if (!added && !mergeServerRecord(found->second, served)) return changed;
   changed.push_back(found->second);
   replaceEarlier(found->second, changed);
@@ -58,7 +58,7 @@
 
 // Handles a server that ended with its machine and never signed off: its sidecar has reconnected with another
 // server, and the earlier one would otherwise count as connected, too.
-void Registry::replaceEarlier(const Served& served, std::vector<Served>& changed) {
+void Registry::replaceEarlier(const ServerRecord& served, std::vector<ServerRecord>& changed) {
   if (served.gone || served.replaced) return;
   for (auto& [id, other] : servers_) {
     if (other.node != served.node || other.life >= served.life || other.gone || other.replaced) continue;
@@ -117,9 +117,9 @@
     it = expired ? members_.erase(it) : std::next(it);
   }
   for (auto it = servers_.begin(); it != servers_.end();) {
-    const Served& server = it->second;
+    const ServerRecord& server = it->second;
     bool expired = members_.count(server.node) == 0;
-    // A departure outlives the member: the sidecar may restart without knowledge of it.
+    // A departure is kept longer than the member, as the sidecar may restart without knowledge of it.
     if (server.draining || server.gone || server.replaced)
       expired = departedSince_.try_emplace(it->first, now).first->second + kDepartureRetention < now;
     if (expired && (server.draining || server.gone)) departed.push_back(it->first);
--- a/src/mesh/registry/registry.hpp
+++ b/src/mesh/registry/registry.hpp
@@ -25,7 +25,7 @@
   std::vector<NodeName> removeReporter(Span now, const Address& reporter);
   /// Merges a server's record. Returns all servers whose records changed: this one, and those reported by an
   /// earlier run of the same sidecar. A machine runs one server at a time, so these have ended.
-  std::vector<Served> update(const Served& served);
+  std::vector<ServerRecord> update(const ServerRecord& served);
   /// Whether the node's sidecar has a session with any control process.
   [[nodiscard]] bool connected(const NodeName& node) const;
   /// Nodes whose sidecars have a session with this process.
@@ -46,12 +46,12 @@
     std::set<Address> reporters;
     Span lastChanged{};
   };
-  void replaceEarlier(const Served& served, std::vector<Served>& changed);
+  void replaceEarlier(const ServerRecord& served, std::vector<ServerRecord>& changed);
   [[nodiscard]] bool isConnected(const Member& member) const {
     return member.local || !member.reporters.empty();
   }
   std::map<NodeName, Member> members_;
-  std::map<InstanceId, Served> servers_;
+  std::map<InstanceId, ServerRecord> servers_;
   std::map<InstanceId, Span> departedSince_;  // servers that drain, signed off or were replaced
 };
 
--- a/src/mesh/registry/registry_messages.cpp
+++ b/src/mesh/registry/registry_messages.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 json toJson(const ServerStatus& status) {
-  const Served& served = status.served;
+  const ServerRecord& served = status.served;
   // Earlier versions do not distinguish replaced from gone; updates list replaced servers in a separate
   // field.
   const bool ended = served.gone || served.replaced;
@@ -27,7 +27,7 @@
 
 ServerStatus serverStatusFrom(const json& from) {
   ServerStatus status;
-  Served& served = status.served;
+  ServerRecord& served = status.served;
   served.id = {from.at(0).get<std::string>()};
   served.service = {from.at(1).get<std::string>()};
   served.at = {from.at(2).get<std::string>()};
--- a/src/mesh/registry/registry_messages.hpp
+++ b/src/mesh/registry/registry_messages.hpp
@@ -10,7 +10,7 @@
 
 /// A server's record, and whether its sidecar has a session with the control plane.
 struct ServerStatus {
-  Served served;
+  ServerRecord served;
   bool connected = true;
 };
 
--- a/src/mesh/registry/server_record_merge.hpp
+++ b/src/mesh/registry/server_record_merge.hpp
@@ -13,7 +13,7 @@
 /// `replaced` is inferred by the sidecar when another server appears at the address, and a later record
 /// withdraws it.
 /// Returns whether `current` has changed.
-inline bool mergeServerRecord(Served& current, const Served& update) {
+inline bool mergeServerRecord(ServerRecord& current, const ServerRecord& update) {
   const std::pair updateVersion{update.life, update.seq};
   const std::pair currentVersion{current.life, current.seq};
   const bool draining = current.draining || update.draining;
--- a/src/mesh/routing/request_router.hpp
+++ b/src/mesh/routing/request_router.hpp
@@ -66,7 +66,9 @@
 
   void configure(const Items& items) { table_.load(items); }
   /// connected: whether the server's process has an open control session.
-  void updateServer(Span now, const Served& server, bool connected) { pool_.update(now, server, connected); }
+  void updateServer(Span now, const ServerRecord& server, bool connected) {
+    pool_.update(now, server, connected);
+  }
   /// Sets how many data-plane processes share the retry budget.
   void setProcessCount(std::size_t count);
   RoutingActions handleRequest(Span now, CallNo no, const ClientRequest& request);
@@ -131,7 +133,7 @@
   std::map<ServiceName, RetryBudget> budgets_;
   std::map<std::string, double> meanSecondsByRoute_;
   std::size_t processCount_;
-  std::uint64_t forwardOrigin_;  // identifies this life's forwards in the whole mesh
+  std::uint64_t forwardOrigin_;  // identifies the forwards of this run in the whole mesh
   std::uint64_t lastAttempt_ = 0;
 };
 
--- a/src/mesh/sidecar/sidecar.cpp
+++ b/src/mesh/sidecar/sidecar.cpp
@@ -140,7 +140,7 @@
 
 void Sidecar::sendServers(const Address& control, SidecarActions& out) {
   ServersUpdate servers;
-  for (const Served& served : admission_.servers()) servers.servers.push_back({served, true});
+  for (const ServerRecord& served : admission_.servers()) servers.servers.push_back({served, true});
   if (!servers.servers.empty()) append(controlClient_.sendTo(control, servers), out);
 }
 
@@ -235,7 +235,7 @@
 void Sidecar::requestRecord(std::uint64_t number, const InstanceId& id, SidecarActions& out) {
   ServersUpdate update;
   update.record = number;
-  for (const Served& served : admission_.servers()) {
+  for (const ServerRecord& served : admission_.servers()) {
     if (served.id == id) update.servers.push_back({served, true});
   }
   append(controlClient_.sendAll(update), out);
--- a/src/mesh/sidecar/sidecar.hpp
+++ b/src/mesh/sidecar/sidecar.hpp
@@ -30,7 +30,7 @@
   AdmissionActions admission;    // run, answer and cancel only
   ControlClientActions control;  // send, dial, disconnect and protocolError only
   std::vector<ServerCallResponse> callResponses;
-  std::vector<Served> serverChanges;  // changed local servers, for the log
+  std::vector<ServerRecord> serverChanges;  // changed local servers, for the log
 };
 
 class Sidecar {
--- a/src/mesh/sidecar/sidecar_program.cpp
+++ b/src/mesh/sidecar/sidecar_program.cpp
@@ -119,7 +119,7 @@
         }));
   }
 
-  // Whether a request can be completed before this process is killed. If not, the client is told when the
+  // Whether a request can be completed before this process is killed. If not, the client is informed when the
   // restarted process will accept requests, so that it does not waste retries on this one.
   bool canComplete(const http::Message& request) {
     const Span now = loop_.now();
@@ -226,11 +226,11 @@
     for (AdmissionAction& action : actions.admission) this->execute(action);
     for (const ControlClientAction& action : actions.control) controlSessions_.execute(action);
     for (const ServerCallResponse& response : actions.callResponses) respond(response);
-    for (const Served& server : actions.serverChanges) logServer(server);
+    for (const ServerRecord& server : actions.serverChanges) logServer(server);
     scheduleTick();
   }
 
-  static void logServer(const Served& server) {
+  static void logServer(const ServerRecord& server) {
     const char* const state = server.gone ? "signed off" : server.draining ? "drains" : "ready";
     log(LogLevel::info, "server", server.id.value, state,
         {{"life", server.life.value}, {"seq", server.seq}, {"process_leaves", server.leaving}});
--- a/tests/departures_test.cpp
+++ b/tests/departures_test.cpp
@@ -33,8 +33,8 @@
   return countOf(acts, AdmissionAction::Kind::run) == 1;
 }
 
-Served servedOnNode(std::uint64_t life, std::uint64_t seq = 1) {
-  Served made = served("i1", seq);
+ServerRecord servedOnNode(std::uint64_t life, std::uint64_t seq = 1) {
+  ServerRecord made = served("i1", seq);
   made.node = {"n"};
   made.life = {life};
   return made;
@@ -44,7 +44,7 @@
 
 TEST_CASE("a server that announced its departure gets no new requests after its sidecar restarted") {
   Admission here = admissionWithVoters();
-  SECTION("its first heartbeat to the new sidecar says that it drains") {
+  SECTION("its first heartbeat to the new sidecar reports that it drains") {
     here.heartbeat(0s, draining("i1", 9));
     CHECK_FALSE(admits(here, 0s, 1));
   }
@@ -53,16 +53,16 @@
     here.heartbeat(100ms, heartbeat("i1", 8));
     CHECK_FALSE(admits(here, 200ms, 1));
   }
-  SECTION("it was restored from an old record, and a newer record says that it drains") {
+  SECTION("it was restored from an old record, and a newer record reports that it drains") {
     here.adopt(0s, servedOnNode(5));
     REQUIRE(admits(here, 0s, 1));
-    Served drains = servedOnNode(6);
+    ServerRecord drains = servedOnNode(6);
     drains.draining = true;
     here.adopt(10ms, drains);
     CHECK_FALSE(admits(here, 20ms, 2));
   }
-  SECTION("a late heartbeat says that it is ready after a record said that it signed off") {
-    Served gone = servedOnNode(6);
+  SECTION("a late heartbeat reports that it is ready after a record reported that it signed off") {
+    ServerRecord gone = servedOnNode(6);
     gone.gone = true;
     here.adopt(0s, gone);
     here.heartbeat(10ms, heartbeat("i1", 8));
@@ -77,15 +77,15 @@
 
 TEST_CASE(
     "an announced departure persists in the registry and in callers' pools, whatever the order of updates") {
-  Served ready = servedOnNode(8);
-  Served left = servedOnNode(7);
+  ServerRecord ready = servedOnNode(8);
+  ServerRecord left = servedOnNode(7);
   SECTION("it drains") { left.draining = true; }
   SECTION("it signed off") { left.gone = true; }
   for (const bool leftFirst : {true, false}) {
     INFO("departure received first: " << leftFirst);
     Registry registry;
     ServerPool pool("z", {"caller"}, 1);
-    for (const Served& record : leftFirst ? std::vector{left, ready} : std::vector{ready, left}) {
+    for (const ServerRecord& record : leftFirst ? std::vector{left, ready} : std::vector{ready, left}) {
       registry.update(record);
       for (const ServerStatus& status : registry.serversOf({"desk"})) pool.update(0s, status.served, true);
     }
@@ -103,7 +103,7 @@
   ServerPool pool("z", {"caller"}, 1);
   const auto reportAll = [&](std::uint64_t life) {
     for (std::size_t machine = 0; machine < kMachines; ++machine) {
-      Served record = served("i" + std::to_string(machine) + "-" + std::to_string(life));
+      ServerRecord record = served("i" + std::to_string(machine) + "-" + std::to_string(life));
       record.node = {"n" + std::to_string(machine)};
       record.life = {life};
       registry.update(record);
--- a/tests/forwarding_test.cpp
+++ b/tests/forwarding_test.cpp
@@ -84,7 +84,7 @@
   const Arrival late = outcomes.receive(3s, {2}, makeForward(5));
   REQUIRE(late.kind == Arrival::Kind::respond);
   CHECK(late.reply.verdict == Verdict::notReceived);
-  // Nothing is known about an earlier process life.
+  // Nothing is known about an earlier run of the process.
   CHECK(outcomes.receive(3s, {3}, makeQuery(6, {6})).reply.verdict == Verdict::unknown);
   // Time in which the process was suspended does not count towards the expiry of the fence.
   CHECK(outcomes.receive(4s, {4}, makeQuery(8, {7})).reply.verdict == Verdict::notReceived);
@@ -302,8 +302,8 @@
   static std::uint64_t lifeOf(const ServerSidecar& sidecar) { return sidecar.life.value; }
 
   static std::string instance(std::size_t sidecar) { return "i" + std::to_string(sidecar); }
-  Served serverState(std::size_t sidecar) {
-    Served state;
+  ServerRecord serverState(std::size_t sidecar) {
+    ServerRecord state;
     state.id = {instance(sidecar)};
     state.service = {"desk"};
     state.at = {"at" + std::to_string(sidecar)};
@@ -731,7 +731,7 @@
   std::vector<Caller> callers_;
   std::vector<ServerSidecar> serverSidecars_;
   std::map<std::tuple<std::size_t, std::uint64_t, InboundRequestId>, ForwardRef> inbound_;
-  std::map<std::pair<std::uint64_t, AttemptNo>, ForwardRef> forwards_;  // by the caller's process life
+  std::map<std::pair<std::uint64_t, AttemptNo>, ForwardRef> forwards_;  // by the life number of the caller
   std::map<std::pair<std::size_t, std::size_t>, Span> sessions_;
   std::map<std::uint64_t, Attempt> attemptsById_;
   std::map<std::uint64_t, std::uint64_t>
--- a/tests/mesh_fixtures.hpp
+++ b/tests/mesh_fixtures.hpp
@@ -23,8 +23,8 @@
   return item;
 }
 
-inline Served served(const std::string& id, std::uint64_t seq = 1) {
-  Served made;
+inline ServerRecord served(const std::string& id, std::uint64_t seq = 1) {
+  ServerRecord made;
   made.id = {id};
   made.service = {"desk"};
   made.at = {"at-" + id};
--- a/tests/mesh_test.cpp
+++ b/tests/mesh_test.cpp
@@ -158,10 +158,10 @@
   CHECK(pool.pick(20s, {"desk"}, false, others));
 }
 
-TEST_CASE("draining and sign-offs are final, and losing contact to half of the servers is disregarded") {
+TEST_CASE("draining and sign-offs are final, and losing contact with half of the servers is disregarded") {
   ServerPool pool("z", {"n"}, 1);
   for (const char* id : {"a", "b", "c", "d"}) pool.update(0s, served(id), true);
-  Served leaving = served("a", 2);
+  ServerRecord leaving = served("a", 2);
   leaving.draining = true;
   pool.update(1s, leaving, true);
   pool.update(1s, served("a", 1), true);  // outdated
@@ -176,12 +176,12 @@
   for (int i = 0; i < 60; ++i) seen.insert(pool.pick(1s, {"desk"}, false, {})->id);
   CHECK(seen.count({"b"}) == 1);
   // A late heartbeat after a restart of the server's process doesn't undo the drain.
-  Served restarted = served("a", 1);
+  ServerRecord restarted = served("a", 1);
   restarted.life = {2};
   pool.update(2s, restarted, true);
   CHECK_FALSE(pool.pick(2s, {"desk"}, false, others));
   // A server that was marked as replaced is used again once its process reports otherwise.
-  Served back = served("b", 2);
+  ServerRecord back = served("b", 2);
   back.replaced = true;
   pool.update(2s, back, true);
   CHECK_FALSE(pool.pick(2s, {"desk"}, false, {{"a"}, {"c"}, {"d"}}));
@@ -575,7 +575,7 @@
 }
 
 TEST_CASE("a restarted process serves its server immediately, but not one that was replaced") {
-  Served known = served("i1", 4);
+  ServerRecord known = served("i1", 4);
   known.node = {"n"};
   known.life = {6};
   known.leaving = true;  // the process, not the server
@@ -601,7 +601,7 @@
   // Not adopted: draining servers and those of other nodes. Of two servers the one announced last is adopted.
   // A 421 answer marks it as replaced.
   Admission second = admissionWithVoters();
-  Served drains = known;
+  ServerRecord drains = known;
   drains.draining = true;
   drains.id = {"i4"};
   CHECK(second.adopt(0s, drains).empty());
@@ -609,7 +609,7 @@
   CHECK(second.adopt(0s, drains).empty());  // outdated after the drain
   CHECK(second.adopt(0s, served("i1")).empty());
   second.adopt(0s, known);
-  Served older = known;
+  ServerRecord older = known;
   older.id = {"i0"};
   older.seq = 3;
   CHECK(second.adopt(0s, older).empty());
