--- a/tests/listed_load_test.cpp
+++ b/tests/listed_load_test.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 TEST_CASE(
-    "live weights do not change a server's size; without the setting weights are sizes, as with rough") {
+    "live weights do not change a server's size, but without the setting weights are sizes, as with rough") {
   const auto share = [](const char* weights) {
     told::Pairs pairs{{"use_cases.count", "1"}, {"use_cases.0.effect", "retryable"},
                       {"peers_total", "1"},     {"my_number", "0"},
@@ -48,7 +48,7 @@
   CHECK(fleet.countSentTo({1}, 400) < 260);
 }
 
-TEST_CASE("listed load of the whole pool reduces concurrency; load of a single server does not") {
+TEST_CASE("listed load of the whole pool reduces concurrency, load of a single server does not") {
   const auto sent = [](std::vector<ListedServer> changes) {
     FakeFleet fleet(liveWeights());
     fleet.updateList(ServerListKind::persisted, {withWeight(1, 1), withWeight(2, 1), withWeight(3, 1)});
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -234,7 +234,7 @@
   CHECK(fleet.countSentTo({2}, 60, kNonIdempotent) > 0);
 }
 
-TEST_CASE("a use case that a server refuses as full is excluded there for a while; others are not") {
+TEST_CASE("a use case that a server refuses as full is excluded there for a while, unlike others") {
   FakeFleet fleet(config());
   fleet.loadServers(2);
   for (int i = 0; i < 8; ++i) {
