--- a/include/rackroute/balancer.hpp
+++ b/include/rackroute/balancer.hpp
@@ -40,7 +40,7 @@
 };
 
 /// How an execution ended. `full`: the server is at capacity and did not execute the query. `invalidQuery`:
-/// the server found the query itself invalid, which says nothing about the server.
+/// the server found the query itself invalid, which is no evidence about the server.
 enum class Outcome { completed, error, full, timeout, connectFailed, reset, cancelled, invalidQuery };
 
 /// Callbacks through which the balancer acts.
@@ -85,7 +85,7 @@
   double serviceTime = 0;  // seconds, as reported by the server; 0 if unknown
 };
 
-/// Statistics that a balancer hands to its successor. They hold no state of queries.
+/// Statistics that a balancer passes to its successor. They contain no state of queries.
 struct BalancerSnapshot {
   double meanLatency = 0;  // seconds
   double responsesPerSecond = 0;
@@ -137,8 +137,8 @@
   void setBalancerCount(std::uint32_t balancers);
   void discoveryFailed(Span now);
   void wake(Span now);
-  /// Takes a server out of rotation for maintenance until enableServer is called, whatever the server lists
-  /// say. An enabled server counts as just started. Both calls are idempotent.
+  /// Takes a server out of rotation for maintenance until enableServer is called, regardless of the server
+  /// lists. An enabled server counts as just started. Both calls are idempotent.
   void disableServer(Span now, ServerId server);
   void enableServer(Span now, ServerId server);
   /// Whether a listed server gets no queries because it is disabled or ejected.
--- a/src/decide/balancer.cpp
+++ b/src/decide/balancer.cpp
@@ -366,7 +366,7 @@
     server.limit = initialLimit();
   }
 
-  // Also adds a server that no list has named yet, to remember that it is disabled.
+  // Also adds a server that no list has contained yet, to remember that it is disabled.
   Server& findOrAdd(ServerId id) {
     const auto at =
         std::find_if(servers_.begin(), servers_.end(), [&](const Server& s) { return s.id == id; });
@@ -669,7 +669,7 @@
   std::optional<ServerSlot> pickServer(Span now, const QueryState& query) {
     if (timeToCapacity(now) > Span{0}) return std::nullopt;
     measureWarmTime(now);
-    // Listed load is a better guide than key affinity.
+    // Listed load takes precedence over key affinity.
     const bool affinity = config_.keyAffinity && query.request.key && !config_.weightsFollowLoad;
     const bool retry = firstExecuted(query) != nullptr;
     const double mean = latency_.mean(now, kInitialLatency);
--- a/src/mesh/checker/explain.hpp
+++ b/src/mesh/checker/explain.hpp
@@ -23,12 +23,12 @@
   std::string what;
 };
 
-/// Errors and doubtful settings in a configuration.
+/// Errors and questionable settings in a configuration.
 std::vector<Finding> findIssues(const Items& items);
 /// The effects of a change on the configuration in force.
 std::vector<Finding> describeChange(const Items& inForce, const std::vector<Item>& change);
-/// The routes that were considered for a request; the last line names the selected one, or says that there is
-/// none.
+/// The routes that were considered for a request; the last line names the selected one, or states that
+/// there is none.
 std::vector<std::string> explainRoute(const Items& items, std::string_view host, std::string_view path,
                                       bool& found);
 
--- a/src/mesh/control/control_node.hpp
+++ b/src/mesh/control/control_node.hpp
@@ -7,7 +7,7 @@
 //
 // Invariants: an order is not acknowledged, and an item is not pushed to a sidecar, before a majority of the
 // voters has it on disk. The process does not vote while it may lack promises that it made or had to read,
-// does not answer operators without contact with a majority, and reports as held only what is on its disk.
+// does not answer operators without contact with a majority, and reports only items that are on its disk.
 
 #include <cstdint>
 #include <deque>
--- a/src/mesh/control/majority_lease.hpp
+++ b/src/mesh/control/majority_lease.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Lease that tells whether this process is in contact with a majority of the voters. Each heartbeat echo
+// Lease that shows whether this process is in contact with a majority of the voters. Each heartbeat echo
 // extends the lease from the time at which the echoed heartbeat was sent, measured by this process's own
 // steady clock. Other machines' clocks and wall-clock time do not matter, and a link that works in one
 // direction only does not extend the lease.
--- a/src/mesh/control/membership.hpp
+++ b/src/mesh/control/membership.hpp
@@ -51,7 +51,7 @@
   /// epoch and under this incarnation; a process that takes a new incarnation must first re-establish its
   /// sessions.
   void peerHoldsState(Span now, const VoterId& peer, bool holdsState);
-  /// Whether this process holds complete state: nothing it promised is lost, and it has read what it must. To
+  /// Whether this process holds complete state: no promise is lost, and all required reads are complete. To
   /// be called after adopt() with the stored set at startup, and after each completed recovery. A voter
   /// without complete state must read, even if the set does not list it as a reader.
   void setHoldsState(bool holds) { holdsState_ = holds; }
--- a/src/mesh/control/message_writer.hpp
+++ b/src/mesh/control/message_writer.hpp
@@ -29,7 +29,7 @@
   void put(const KeyHash& hash) { text_ += '"' + textOf(hash) + '"'; }
   void put(const ItemKey& key) { put(textOf(key)); }
   void put(const Item& item) { text_ += wireOf(item); }
-  void put(const ServerStatus& news) { put(toJson(news)); }
+  void put(const ServerStatus& status) { put(toJson(status)); }
   void put(const OrderPtr& order) { put(order->items); }
   template <class Tag, class Value>
   void put(const Id<Tag, Value>& id) {
--- a/src/mesh/control/messages.cpp
+++ b/src/mesh/control/messages.cpp
@@ -29,19 +29,19 @@
 
 template <CarriesServers T>
 T withReplacedIds(T update) {
-  for (const ServerStatus& news : update.servers) {
-    if (news.served.replaced) update.replaced.push_back(news.served.id);
+  for (const ServerStatus& status : update.servers) {
+    if (status.served.replaced) update.replaced.push_back(status.served.id);
   }
   return update;
 }
 
 template <CarriesServers T>
 void markReplaced(T& update) {
-  for (ServerStatus& news : update.servers) {
-    const auto& named = update.replaced;
-    if (std::find(named.begin(), named.end(), news.served.id) == named.end()) continue;
-    news.served.replaced = true;
-    news.served.gone = false;
+  for (ServerStatus& status : update.servers) {
+    const auto& replaced = update.replaced;
+    if (std::find(replaced.begin(), replaced.end(), status.served.id) == replaced.end()) continue;
+    status.served.replaced = true;
+    status.served.gone = false;
   }
   update.replaced.clear();
 }
@@ -87,15 +87,15 @@
   if (!text.is_object()) return failure("message", "is not an object");
   const auto name = text.find("t");
   if (name == text.end() || !name->is_string()) return failure("message", "has no kind");
-  const auto& wanted = name->get_ref<const std::string&>();
+  const auto& kindName = name->get_ref<const std::string&>();
   const auto kind =
-      std::find_if(kKinds.begin(), kKinds.end(), [&](const Kind& each) { return each.name == wanted; });
+      std::find_if(kKinds.begin(), kKinds.end(), [&](const Kind& each) { return each.name == kindName; });
   if (kind == kKinds.end()) return failure("message", "has an unknown kind");
   // Malformed input from a corrupt or foreign process is rejected as a whole.
   try {
     return kind->read(text);
   } catch (const json::exception& error) {
-    return failure("message", wanted + ": " + error.what());
+    return failure("message", kindName + ": " + error.what());
   }
 }
 
--- a/src/mesh/control/messages.hpp
+++ b/src/mesh/control/messages.hpp
@@ -72,7 +72,7 @@
   std::uint64_t hash = 0;
 };
 
-/// Phase 1 of a ballot: asks for promises for the registers.
+/// Phase 1 of a ballot: requests promises for the registers.
 struct Prepare {
   Ballot ballot;
   Epoch epoch;
@@ -149,7 +149,7 @@
   std::uint64_t echo = 0;      // highest sequence received from the receiver
   Epoch epoch;                 // control only, like all fields below
   std::uint64_t digest = 0;    // digest of the items on the sender's disk
-  bool holdsState = false;     // it may vote: it lost no promises and has read what it had to
+  bool holdsState = false;     // it may vote: no promise is lost and all required reads are complete
   bool settled = false;        // it holds the majority lease and has completed a majority read since
   std::size_t members = 0;     // sidecars that are or recently were connected to any control process
 };
--- a/src/mesh/control/operator_calls.hpp
+++ b/src/mesh/control/operator_calls.hpp
@@ -2,13 +2,13 @@
 
 // Pending calls of operators: changes of the configuration and reads of it. Takes inputs and returns answers;
 // performs no I/O and reads no clock. An order must not be acknowledged before it is decided, nor refused if
-// it is or may become decided, and no answer may rest on this process's copy of the configuration alone.
+// it is or may become decided, and no answer may be based on this process's copy of the configuration alone.
 //
 // | answer | when |
 // | --- | --- |
 // | 200 | the order is decided, now or already before; a read: the items that a majority has confirmed |
 // | 400 | the change is invalid, or names a service that a majority does not know |
-// | 409 | another value is decided for a version that it gives; the body has the items in force |
+// | 409 | another value is decided for a version in the change; the body has the items in force |
 // | 503 | this process is not in contact with a majority, or no majority answered in time; the state of the
 // order is unknown |
 
--- a/src/mesh/control/order_proposer.cpp
+++ b/src/mesh/control/order_proposer.cpp
@@ -177,7 +177,7 @@
 void OrderProposer::evaluate(Span now, Proposal& proposal, bool timedOut, Effects& effects) {
   if (!proposal.granted.majority()) return;
   const ReportedOrder* first = findBlocking(proposal);
-  // A voter set may no longer be wanted by anyone but the voters that accepted it. The outstanding replies
+  // A voter set may be obsolete for all processes but the voters that accepted it. The outstanding replies
   // show whether it may be decided nevertheless. Any other order is completed at once.
   const ReportedOrder* accepted = first != nullptr ? first : ownReported(proposal);
   if (!timedOut && accepted != nullptr && isVoterSetOrder(*accepted->accepted.order) &&
--- a/src/mesh/control/register_acceptor.cpp
+++ b/src/mesh/control/register_acceptor.cpp
@@ -166,7 +166,7 @@
   promises_.erase(promise);
   effects.entries.emplace_back(agreement_store::promiseKey(ballot), std::nullopt);
   if (ballot <= floor_) return;
-  // A delayed request with a lower ballot must still be refused after the promise is gone.
+  // A delayed request with a lower ballot must still be refused after the promise is removed.
   floor_ = ballot;
   effects.entries.emplace_back(agreement_store::kFloorKey, agreement_store::formatBallot(floor_));
 }
--- a/src/mesh/forwarding/forward_outcomes.cpp
+++ b/src/mesh/forwarding/forward_outcomes.cpp
@@ -38,13 +38,13 @@
     inProgress_[requestId.value] = id;
     return {};
   }
-  // A request that arrives after its caller was told that it was not received must not be executed, nor may
-  // any request be executed twice.
+  // A request that arrives after its caller was informed that it was not received must not be executed, nor
+  // may any request be executed twice.
   return respondWith(found->second.state == State::fenced ? Verdict::notReceived : Verdict::unknown);
 }
 
 ForwardOutcomes::Arrival ForwardOutcomes::query(InboundRequestId requestId, const ForwardRequest& request) {
-  // The records of an earlier process life are lost, and its server may have executed the request.
+  // The records of an earlier run of the process are lost, and its server may have executed the request.
   if (*request.outcomeQuery != life_) return respondWith(Verdict::unknown);
   const auto found = records_.find(*request.id);
   if (found == records_.end()) return fence(*request.id);
--- a/src/mesh/forwarding/forwarding.hpp
+++ b/src/mesh/forwarding/forwarding.hpp
@@ -48,9 +48,9 @@
   std::uint32_t priority = 0;
   RouteKind kind = RouteKind::effectful;
   std::string route;             // route name; groups requests of similar duration
-  std::optional<LifeNo> holder;  // set: only fetch the result of the operation claimed by this process life
+  std::optional<LifeNo> holder;  // set: only fetch the result of the operation claimed by this run
   std::optional<ForwardId> id;   // set: the outcome can be queried later
-  /// Set: not a request but a query for the outcome of `id`, which was sent to this process life.
+  /// Set: not a request but a query for the outcome of `id`, which was sent to this process run.
   std::optional<LifeNo> outcomeQuery;
 };
 
--- a/src/mesh/routing/request_router.cpp
+++ b/src/mesh/routing/request_router.cpp
@@ -138,7 +138,7 @@
   pool_.recordOutcome(now, attempt.instance, ending, reply.load);
 }
 
-// Asks the process that holds the operation's key for its answer.
+// Requests the answer from the process that holds the operation's key.
 void RequestRouter::queryHolder(Span now, CallNo no, Call& call, const Holder& holder,
                                 RoutingActions& actions) {
   const AttemptNo next{++lastAttempt_};
@@ -154,8 +154,9 @@
   actions.push_back(std::move(action));
 }
 
-// Asks once whether an effectful request arrived before its connection was lost. The same life of the other
-// process knows; if the request had not arrived, that process refuses a late copy of it.
+// Queries once whether an effectful request arrived before its connection was lost. Only the run of the
+// process to which it was sent can answer; if the request had not arrived, that process refuses a late copy
+// of it.
 bool RequestRouter::queryOutcome(Span now, CallNo no, Call& call, AttemptNo attemptNo, const Attempt& lost,
                                  RoutingActions& actions) {
   const bool canQuery = call.route->kind == RouteKind::effectful && lost.kind == Attempt::Kind::request;
--- a/src/mesh/sidecar/control_client.cpp
+++ b/src/mesh/sidecar/control_client.cpp
@@ -25,7 +25,7 @@
 /// How long no settled control process is reachable before unconfirmed items are accepted. Longer than
 /// control processes take to settle after one of them restarts.
 constexpr Span kUnsettledFor = 3s;
-/// Most known addresses that are neither seeds nor voters.
+/// Maximum number of known addresses that are neither seeds nor voters.
 constexpr std::size_t kMaxTemporary = 32;
 constexpr Span kForgetAfter = 30s;  // unreachable addresses that are neither seeds nor voters
 
--- a/tests/control_messages_test.cpp
+++ b/tests/control_messages_test.cpp
@@ -97,25 +97,25 @@
   AcceptedOrder accepted() { return {ballot(), order()}; }
   RegisterId registerId() { return registerOf(item()); }
   DecidedRegister decided() { return {registerId(), number()}; }
-  ServerStatus news() {
-    ServerStatus news;
-    news.served = {{text()},
-                   {text()},
-                   address(),
-                   {text()},
-                   text(),
-                   {number()},
-                   number(),
-                   static_cast<std::uint32_t>(number()),
-                   flag(),
-                   flag(),
-                   flag(),
-                   flag(),
-                   std::chrono::milliseconds(below(100000))};
+  ServerStatus status() {
+    ServerStatus status;
+    status.served = {{text()},
+                     {text()},
+                     address(),
+                     {text()},
+                     text(),
+                     {number()},
+                     number(),
+                     static_cast<std::uint32_t>(number()),
+                     flag(),
+                     flag(),
+                     flag(),
+                     flag(),
+                     std::chrono::milliseconds(below(100000))};
     // `replaced` is not encoded for a server that has deregistered.
-    news.served.replaced = news.served.replaced && !news.served.gone;
-    news.connected = flag();
-    return news;
+    status.served.replaced = status.served.replaced && !status.served.gone;
+    status.connected = flag();
+    return status;
   }
   std::pair<ClaimNo, KeyHash> claimOfKey() { return {claim(), print()}; }
   json versions() {
@@ -131,7 +131,7 @@
     const auto registerId = [&] { return this->registerId(); };
     const auto accepted = [&] { return this->accepted(); };
     const auto decided = [&] { return this->decided(); };
-    const auto news = [&] { return this->news(); };
+    const auto status = [&] { return this->status(); };
     const auto claims = [&] { return claimOfKey(); };
     switch (kind) {
       case 0:
@@ -178,9 +178,12 @@
       case 13:
         return ReadReply{number(), epoch(), voter(), number(), list(accepted)};
       case 14:
-        return RegistryUpdate{list([&] { return std::pair<NodeName, bool>{{text()}, flag()}; }), list(news)};
+        return RegistryUpdate{list([&] {
+                                return std::pair<NodeName, bool>{{text()}, flag()};
+                              }),
+                              list(status)};
       case 15:
-        return ServersUpdate{list(news)};
+        return ServersUpdate{list(status)};
       case 16:
         return Subscribe{list([&] { return ServiceName{text()}; })};
       case 17:
--- a/tests/sidecar_control_client_test.cpp
+++ b/tests/sidecar_control_client_test.cpp
@@ -364,23 +364,24 @@
   Sidecar restarted = makeSidecar({100});
   restarted.sessionOpened(0s, {"v0"});
   Welcome welcome = makeWelcome(voterAt({"v0"}), makeVoterSet(1));
-  SECTION("updates are refused until the earlier process life is known") {
+  SECTION("updates are refused until the life number of the earlier run is known") {
     deliverTo(restarted, 0s, {"v0"}, welcome);
     CHECK(accepted(restarted.serverCalled(0s, {1}, makeServerHeartbeat("i1")).control, {"v0"}) == 0);
     welcome.highestLife = {500};
     CHECK(accepted(deliverTo(restarted, 1s, {"v0"}, welcome).control, {"v0"}) == 1);
   }
-  SECTION("with the earlier life known, the next one is used and its server is adopted") {
+  SECTION("once that number is known, the next one is used and the server is adopted") {
     welcome.highestLife = {500};
     deliverTo(restarted, 0s, {"v0"}, welcome);
     const ServerStatus known{registry.serversOn({"s"}).at(0).served, true};
     CHECK(accepted(deliverTo(restarted, 0s, {"v0"}, ServersUpdate{{known}}).control, {"v0"}) == 1);
     CHECK(registry.serversOn({"s"}).at(0).served.life == LifeNo{501});
-    // Its own life number does not make it advance again.
+    // Reports of its own life number do not advance it again.
     welcome.highestLife = {501};
     CHECK(accepted(deliverTo(restarted, 1s, {"v0"}, welcome).control, {"v0"}) == 0);
     CHECK(restarted.admission().servers().at(0).life == LifeNo{501});
-    // After it has forgotten the server, its own updates of any life do not make it adopt the server again.
+    // After it has forgotten the server, its own updates with any life number do not make it adopt the server
+    // again.
     restarted.tick(62s);
     REQUIRE(restarted.admission().servers().empty());
     restarted.sessionOpened(62s, {"v0"});
